--- a/crates/node/src/reducer/attempts.rs
+++ b/crates/node/src/reducer/attempts.rs
@@ -1,4 +1,4 @@
-//! How attempts get an upstream and are written on it.
+//! Assigns upstreams to attempts and writes attempts on them.
 use std::rc::Rc;
 
 use quartzhub_policy::{CallIndex, EndpointState, Outcome, ServerIndex, Span, Time};
@@ -9,7 +9,7 @@
 use super::upstreams::{Upstream, UpstreamUse};
 use crate::messages::{ClientId, Effect, Request, UpstreamId};
 
-/// An attempt that is still wanted, as it is to be written.
+/// The data to write for an attempt that may still be made.
 struct WritableAttempt {
     client: ClientId,
     request: Rc<Request>,
@@ -18,7 +18,7 @@
 }
 
 impl NodeState {
-    /// Gives an attempt an idle upstream to its server, else a new one.
+    /// Starts an attempt on an idle upstream to its server, or on a new one if none is available.
     pub(super) fn start_attempt(&mut self, attempt: AttemptId, server: ServerIndex) {
         match self.take_idle_upstream(server) {
             Some(upstream) => self.write_attempt(upstream, attempt, false),
@@ -26,11 +26,14 @@
         }
     }
 
-    /// Takes the newest idle upstream that has been idle for long enough. Guards against a second copy of a response
-    /// that is still on its way when the next attempt is written, and would be taken for its response.
+    /// Takes the newest upstream that has been idle for at least the reuse delay. Without the
+    /// delay, a duplicate of the last response that is still on its way when the next attempt is
+    /// written would be taken for the response to that attempt.
     ///
-    /// Where there is no room for a new connection, and at the origin, the oldest will do: what waits for the origin is
-    /// sent as a response comes, and each on a connection of its own would cost the origin what it lacks.
+    /// At the socket limit, and at the origin, the upstream that has been idle longest is taken
+    /// even within the delay. At the origin this is because queued attempts are sent as earlier
+    /// responses arrive, and a new connection for each would cost the origin capacity that it
+    /// lacks.
     fn take_idle_upstream(&mut self, server: ServerIndex) -> Option<UpstreamId> {
         let latest_reusable_deadline =
             self.now + self.limits.upstream_idle_timeout - self.limits.upstream_reuse_delay;
@@ -47,8 +50,9 @@
         Some(self.servers[server].idle_upstreams.remove(position))
     }
 
-    /// Opens an upstream for an attempt. Guards against running out of descriptors: an idle connection makes room; if
-    /// there is none, the attempt is not made, and no server is blamed.
+    /// Opens an upstream for an attempt. At the socket limit, an idle connection is closed first,
+    /// so that the process does not run out of file descriptors; if no connection is idle, the
+    /// attempt is not made, and the server is not blamed.
     pub(super) fn open_upstream(&mut self, attempt: AttemptId) {
         let Some(record) = self.calls.attempt(attempt) else {
             return;
@@ -58,7 +62,7 @@
         let Some(to) = self.servers[server].addr else {
             return self.finish_attempt(attempt, Outcome::Unreachable);
         };
-        if self.is_short_of_sockets() && !self.make_room_for_upstream() {
+        if self.is_short_of_sockets() && !self.free_socket_for_upstream() {
             return self.finish_attempt(attempt, Outcome::NotSent);
         }
         let id = UpstreamId(self.next_connection_id());
@@ -80,8 +84,8 @@
         });
     }
 
-    /// Writes an attempt on an upstream that is up: only here do bytes go to a server. A connect may have taken its
-    /// time, so whether the attempt is still wanted is looked at now.
+    /// Writes an attempt on a connected upstream; all requests to servers are written here. The
+    /// connect may have taken long, so this checks again whether the attempt may still be made.
     pub(super) fn write_attempt(
         &mut self,
         id: UpstreamId,
@@ -103,15 +107,16 @@
         if let Some(record) = self.calls.attempt_mut(attempt) {
             record.upstream = Some(id);
         }
-        // Guards against a repeat whose last byte is out only when its window has closed, and against one whose server
-        // begins it with less time left than it was told.
+        // Past this deadline the attempt is not completed: the server's deduplication window for a
+        // repeated write would be over, or the server would start the work with less time left
+        // than the request states.
         let time_left = writable.deadline - self.now;
         let written_at = self.now + self.write_time(&writable.request, time_left);
-        let latest_write = writable
+        let write_deadline = writable
             .deadline
             .min(writable.write_by)
             .min(written_at + self.limits.deadline_slack);
-        self.set_upstream_deadline(id, latest_write);
+        self.set_upstream_deadline(id, write_deadline);
         self.effects.push_back(Effect::Write {
             upstream: id,
             client: writable.client,
@@ -120,12 +125,13 @@
         });
     }
 
-    /// What is to be written for this attempt, if it is still wanted and may still be made.
+    /// Returns the data to write for this attempt, or `None` if its call is finished, its time is
+    /// over or its server is no longer ready.
     fn writable_attempt(&self, attempt: AttemptId) -> Option<WritableAttempt> {
         let call = self.calls.get(attempt.call)?;
         let record = self.calls.attempt(attempt)?;
         let in_time = self.now < record.deadline.min(record.write_by);
-        if call.answered || !in_time || self.servers[record.server].state != EndpointState::Ready {
+        if call.finished || !in_time || self.servers[record.server].state != EndpointState::Ready {
             return None;
         }
         Some(WritableAttempt {
@@ -136,7 +142,8 @@
         })
     }
 
-    /// The part of the time left that a large value may take to be written; a short one is written at once.
+    /// Returns the time allowed for writing a request: a fraction of the time left if its value is
+    /// large, else zero, as a small request is written at once.
     fn write_time(&self, request: &Request, time_left: Span) -> Span {
         let is_large = request
             .value
@@ -149,15 +156,15 @@
         }
     }
 
-    /// Whether this attempt may not be made any more, as it could take effect twice.
+    /// Returns whether it is too late to write this attempt, as the work could take effect twice.
     pub(super) fn is_past_write_deadline(&self, attempt: AttemptId) -> bool {
         self.calls
             .attempt(attempt)
             .is_some_and(|attempt| attempt.write_by <= self.now)
     }
 
-    /// Ends the attempts of an API call that are not whole at their servers. None of them has begun there, so this is
-    /// done even where attempts may not be cancelled.
+    /// Ends the attempts of an API call that are not written in full. Their servers have not
+    /// started the work, so this is done even where the settings do not allow cancelling attempts.
     pub(super) fn cancel_unwritten_attempts(&mut self, call_index: CallIndex) {
         let Some(call) = self.calls.get(call_index) else {
             return;
@@ -166,9 +173,9 @@
             .attempts
             .iter()
             .enumerate()
-            .filter_map(|(number, attempt)| Some((number, attempt.upstream?)))
+            .filter_map(|(index, attempt)| Some((index, attempt.upstream?)))
             .collect();
-        for (number, id) in with_upstream {
+        for (index, id) in with_upstream {
             let current_use = self.upstreams.get(id).map(|upstream| upstream.current_use);
             if let Some(UpstreamUse::InFlight {
                 request_written: false,
@@ -177,7 +184,7 @@
             {
                 let attempt = AttemptId {
                     call: call_index,
-                    number,
+                    index,
                 };
                 self.close_upstream(id);
                 self.finish_attempt(attempt, Outcome::NotSent);
--- a/crates/node/src/reducer/call_events.rs
+++ b/crates/node/src/reducer/call_events.rs
@@ -1,4 +1,4 @@
-//! API calls as clients make them.
+//! Events of API calls: how a call of a client is checked, accepted and passed to the policy.
 use std::rc::Rc;
 
 use bytes::Bytes;
@@ -10,7 +10,7 @@
 use crate::messages::{ClientId, Request, RequestAttributes, Response};
 
 impl Reducer {
-    /// A client makes an API call.
+    /// Handles an API call of a client.
     pub fn on_call(
         &mut self,
         now: Time,
@@ -21,14 +21,15 @@
         self.advance_clock(now);
         let product = index_of(&self.names.products, attributes.product);
         let counter = self.product_counters.get(product).copied().flatten();
-        if let Some(what) = self.invalid_call(product, &request, &attributes) {
-            self.state.counters.count(counter, &Response::Error(what));
-            return self.respond_command_error(now, client, what);
+        if let Some(error) = self.invalid_call(product, &request, &attributes) {
+            self.state.counters.count(counter, &Response::Error(error));
+            return self.respond_command_error(now, client, error);
         }
         let Some(slot) = self.state.reserve_response_slot(client) else {
             return;
         };
-        // Guards against running out of memory: what is over the limits is rejected before it is taken.
+        // Calls beyond the limits are rejected before they are stored, so that the node does not
+        // run out of memory.
         let value_bytes = request.value.as_ref().map_or(0, Bytes::len);
         if self.rejects_calls_of(client) || self.is_overloaded_by(value_bytes) {
             let response = Response::RateLimited(None);
@@ -52,8 +53,8 @@
         self.report_finished_attempts();
     }
 
-    /// Why a call gets an error at once, if it does. Guards against what no server can use, or would take for another
-    /// API call.
+    /// Returns the error text for a call that no server could use, or that a server would take for
+    /// another API call; `None` if the call is valid.
     fn invalid_call(
         &self,
         product: usize,
@@ -66,7 +67,7 @@
         if product.idempotency == Idempotency::Deduplicated && !attributes.has_idempotency_key {
             return Some("this product needs a mark for repeated writes");
         }
-        if self.state.calls.is_unanswered(&request.id) {
+        if self.state.calls.is_unfinished(&request.id) {
             return Some("an API call with this id is open");
         }
         None
@@ -85,15 +86,16 @@
             || self.state.buffered_bytes + value_bytes > limits.buffered_bytes
     }
 
-    /// The time that a call has, of what its client gave it: less the way there and back, and less what it has lain
-    /// unread, and no longer than the process has.
+    /// Returns the time left for a call: the time left that its client stated, less the allowance
+    /// for the network and the time for which the command lay unread. During a graceful shutdown
+    /// it ends at the response deadline at the latest.
     fn time_left(&self, now: Time, attributes: &RequestAttributes) -> Span {
         let unread = self.state.stall_duration().max(attributes.queued);
         let allowance = self.state.limits.network_allowance;
-        let given = Span((attributes.time_left.0 - allowance.0 - unread.0).max(0));
+        let time_left = Span((attributes.time_left.0 - allowance.0 - unread.0).max(0));
         match self.state.response_deadline {
-            Some(deadline) => given.min((deadline - now).max(Span::ZERO)),
-            None => given,
+            Some(deadline) => time_left.min((deadline - now).max(Span::ZERO)),
+            None => time_left,
         }
     }
 }
--- a/crates/node/src/reducer/calls.rs
+++ b/crates/node/src/reducer/calls.rs
@@ -10,41 +10,41 @@
 use crate::messages::{ClientId, Request, UpstreamId};
 use crate::metrics::CounterIndex;
 
-/// Names an attempt: its API call, and its place among the call's attempts.
+/// Identifies an attempt: the index of its API call, and its own index among the call's attempts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct AttemptId {
     pub(super) call: CallIndex,
-    pub(super) number: usize,
+    pub(super) index: usize,
 }
 
 /// An attempt of an API call at one server.
 pub(super) struct Attempt {
     pub(super) server: ServerIndex,
     pub(super) started: Time,
-    /// When its response must be there.
+    /// When its response must have arrived.
     pub(super) deadline: Time,
     /// When its last byte must be written.
     pub(super) write_by: Time,
     pub(super) upstream: Option<UpstreamId>,
 }
 
-/// An attempt that ended and that the policy has not been told of.
+/// A finished attempt that has not been reported to the policy yet.
 pub(super) struct FinishedAttempt {
     pub(super) attempt: AttemptId,
     pub(super) outcome: Outcome,
 }
 
-/// An API call, and the client that waits for it.
+/// An API call, and the client that made it.
 pub(super) struct Call {
     pub(super) request: Rc<Request>,
     pub(super) client: ClientId,
-    /// Its product's response counter.
+    /// The response counter of its product.
     pub(super) counter: Option<CounterIndex>,
-    /// Where its response stands in the client's order of responses.
+    /// The slot of its response in the client's order of responses.
     pub(super) slot: ResponseSlot,
     pub(super) deadline: Time,
-    /// The client has its final response, or has gone.
-    pub(super) answered: bool,
+    /// The call has its final response, or its client has disconnected.
+    pub(super) finished: bool,
     pub(super) attempts: Vec<Attempt>,
 }
 
@@ -62,23 +62,23 @@
             counter,
             slot,
             deadline,
-            answered: false,
+            finished: false,
             attempts: Vec::new(),
         }
     }
 
-    /// Bytes of the value that the node holds for it.
+    /// Returns the size in bytes of the value that the call writes; zero for a read.
     pub(super) fn value_bytes(&self) -> usize {
         self.request.value.as_ref().map_or(0, Bytes::len)
     }
 }
 
-/// API calls that the policy has not released.
+/// All API calls that the policy has not released.
 #[derive(Default)]
 pub(super) struct Calls {
     records: CallTable<Call>,
-    /// Those without a final response, by their ids.
-    unanswered: HashMap<String, CallIndex>,
+    /// Calls without a final response, by the ids that their clients gave them.
+    unfinished: HashMap<String, CallIndex>,
 }
 
 impl Calls {
@@ -97,7 +97,7 @@
     pub(super) fn insert(&mut self, call: Call) -> CallIndex {
         let id = call.request.id.clone();
         let index = self.records.insert(call);
-        self.unanswered.insert(id, index);
+        self.unfinished.insert(id, index);
         index
     }
 
@@ -105,35 +105,35 @@
         self.records.remove(index)
     }
 
-    /// No response of this call goes to its client from here on, and its id may be used again. False if there is no
-    /// such call.
-    pub(super) fn mark_answered(&mut self, index: CallIndex) -> bool {
+    /// Marks a call as finished: its client gets no further response to it, and its id may be used
+    /// again. Returns whether there is such a call.
+    pub(super) fn mark_finished(&mut self, index: CallIndex) -> bool {
         let Some(call) = self.records.get_mut(index) else {
             return false;
         };
-        call.answered = true;
-        self.unanswered.remove(&call.request.id);
+        call.finished = true;
+        self.unfinished.remove(&call.request.id);
         true
     }
 
-    /// Whether a call of this id has no final response yet.
-    pub(super) fn is_unanswered(&self, id: &str) -> bool {
-        self.unanswered.contains_key(id)
+    /// Returns whether there is a call with this id and without a final response.
+    pub(super) fn is_unfinished(&self, id: &str) -> bool {
+        self.unfinished.contains_key(id)
     }
 
-    pub(super) fn unanswered_count(&self) -> usize {
-        self.unanswered.len()
+    pub(super) fn unfinished_count(&self) -> usize {
+        self.unfinished.len()
     }
 
-    pub(super) fn unanswered(&self) -> Vec<CallIndex> {
-        self.unanswered.values().copied().collect()
+    pub(super) fn unfinished(&self) -> Vec<CallIndex> {
+        self.unfinished.values().copied().collect()
     }
 
     pub(super) fn attempt(&self, id: AttemptId) -> Option<&Attempt> {
-        self.records.get(id.call)?.attempts.get(id.number)
+        self.records.get(id.call)?.attempts.get(id.index)
     }
 
     pub(super) fn attempt_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
-        self.records.get_mut(id.call)?.attempts.get_mut(id.number)
+        self.records.get_mut(id.call)?.attempts.get_mut(id.index)
     }
 }
--- a/crates/node/src/reducer/client_events.rs
+++ b/crates/node/src/reducer/client_events.rs
@@ -1,4 +1,4 @@
-//! What clients' connections report: that they come and go, and commands that are no API calls.
+//! Events of clients' connections: connects, disconnects, and commands that are no API calls.
 use quartzhub_policy::Time;
 
 use super::clients::Client;
@@ -6,7 +6,7 @@
 use crate::messages::{AcceptCapacity, ClientId, Response};
 
 impl Reducer {
-    /// Commands of this client that have no response yet.
+    /// Returns the number of this client's commands whose response has not been sent.
     pub fn pending_responses(&self, client: ClientId) -> usize {
         self.state
             .clients
@@ -14,7 +14,7 @@
             .map_or(0, Client::pending_responses)
     }
 
-    /// Whether a value is being streamed to this client.
+    /// Returns whether a value is being streamed to this client.
     pub fn is_streaming_to(&self, client: ClientId) -> bool {
         self.state
             .clients
@@ -22,7 +22,7 @@
             .is_some_and(|client| !client.streaming.is_empty())
     }
 
-    /// Whether this client has made an API call.
+    /// Returns whether this client has made an API call.
     pub fn has_made_calls(&self, client: ClientId) -> bool {
         self.state
             .clients
@@ -30,7 +30,7 @@
             .is_some_and(|client| client.has_made_calls)
     }
 
-    /// How many commands of this client could not be done.
+    /// Returns the number of this client's commands that were rejected with an error.
     pub fn command_errors(&self, client: ClientId) -> usize {
         self.state
             .clients
@@ -38,7 +38,7 @@
             .map_or(0, |client| client.command_errors)
     }
 
-    /// A client was accepted.
+    /// Handles a client whose connection was accepted, and returns its id.
     pub fn on_client_connected(&mut self, now: Time) -> ClientId {
         self.advance_clock(now);
         let id = ClientId(self.state.next_connection_id());
@@ -46,7 +46,7 @@
         id
     }
 
-    /// A client closed its connection, or it broke: its API calls are cancelled.
+    /// Handles a client whose connection is closed or broken: its API calls are cancelled.
     pub fn on_client_disconnected(&mut self, now: Time, id: ClientId) {
         self.advance_clock(now);
         let Some(client) = self.state.clients.remove(id) else {
@@ -60,7 +60,7 @@
             self.state.close_upstream(upstream);
         }
         for index in client.open_calls {
-            if self.state.calls.mark_answered(index) {
+            if self.state.calls.mark_finished(index) {
                 self.state.cancel_unwritten_attempts(index);
                 self.balancer
                     .on_client_cancelled(now, index, &mut self.state);
@@ -69,17 +69,18 @@
         self.report_finished_attempts();
     }
 
-    /// Whether one more client can be accepted. If not, the connection that has been idle longest is closed: to a
-    /// server, or else a client's.
+    /// Returns whether one more client can be accepted. If not, an idle connection is closed to
+    /// free a socket: that of an evictable client, or else the upstream that has been idle longest.
     pub fn free_capacity(&mut self, now: Time) -> AcceptCapacity {
         self.advance_clock(now);
         let state = &mut self.state;
-        let most_clients = state.limits.sockets - state.limits.server_only_sockets;
-        let below_client_limit = state.clients.len() < most_clients;
+        let client_limit = state.limits.sockets - state.limits.server_only_sockets;
+        let below_client_limit = state.clients.len() < client_limit;
         if state.socket_count() < state.limits.sockets && below_client_limit {
             return AcceptCapacity::Free;
         }
-        // Guards against a burst of new connections, bad clients' among them, that drives out those at work.
+        // Only connections without open calls are closed. Otherwise a burst of new connections,
+        // also from misbehaving clients, would displace clients that make calls.
         if state.evict_client() || below_client_limit && state.close_longest_idle_upstream() {
             AcceptCapacity::Soon
         } else {
@@ -87,14 +88,14 @@
         }
     }
 
-    /// From now on each API call of this client is rejected, as its connection is about to end.
+    /// Rejects every further API call of this client, as its connection is about to be closed.
     pub fn reject_calls_of(&mut self, id: ClientId) {
         if let Some(client) = self.state.clients.get_mut(id) {
             client.rejects_calls = true;
         }
     }
 
-    /// Responses of so many bytes were written to a client.
+    /// Handles responses written to a client; `bytes` is their size.
     pub fn on_delivered(&mut self, id: ClientId, bytes: usize) {
         if let Some(client) = self.state.clients.get_mut(id) {
             let bytes = bytes.min(client.buffered_bytes);
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Responds to a command that the node answers by itself.
+    /// Responds to a command that the node answers itself, without a server.
     pub fn respond_plain(&mut self, now: Time, id: ClientId, response: Vec<u8>) {
         self.advance_clock(now);
         if let Some(slot) = self.state.reserve_response_slot(id) {
@@ -111,7 +112,8 @@
         }
     }
 
-    /// Tells the front whether new clients may come here: `ready` if so, else an error, both in RESP's form.
+    /// Responds to a PING of the front, which asks whether the node accepts new clients: `ready` if
+    /// it does, else an error, both in RESP format.
     pub fn respond_ping(&mut self, now: Time, id: ClientId, ready: Vec<u8>) {
         let response = if self.state.service.accepts_new_clients() {
             ready
@@ -121,15 +123,16 @@
         self.respond_plain(now, id, response);
     }
 
-    /// Responds to a command that can't be done; it gets an error and reaches no server.
-    pub fn respond_command_error(&mut self, now: Time, id: ClientId, what: &str) {
+    /// Responds with an error to a command that the node rejects without sending it to a server.
+    pub fn respond_command_error(&mut self, now: Time, id: ClientId, error: &str) {
         if let Some(client) = self.state.clients.get_mut(id) {
             client.command_errors += 1;
         }
-        self.respond_plain(now, id, format!("-ERR {what}\r\n").into_bytes());
+        self.respond_plain(now, id, format!("-ERR {error}\r\n").into_bytes());
     }
 
-    /// Responds to a client from which nothing more is read; it is closed once it has its responses.
+    /// Sends a client its last response. Nothing more is read from it, and it is closed once its
+    /// pending responses are sent.
     pub fn respond_and_close(&mut self, now: Time, id: ClientId, response: Vec<u8>) {
         self.respond_plain(now, id, response);
         if let Some(client) = self.state.clients.get_mut(id) {
--- a/crates/node/src/reducer/clients.rs
+++ b/crates/node/src/reducer/clients.rs
@@ -8,28 +8,32 @@
 use crate::limits::Limits;
 use crate::messages::{ClientId, Response, UpstreamId};
 
-/// The place of a command's response in its client's order of responses, counted from the first command.
+/// The position of a command's response in its client's order of responses, counted from the
+/// client's first command.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct ResponseSlot(u64);
 
 /// A client's connection.
 #[derive(Default)]
 pub(super) struct Client {
-    /// An entry for each command without a response, in order; some have their response and wait for those before.
+    /// One entry for each command whose response has not been sent, in the order of the commands.
+    /// `Some` is a response that is ready but must follow earlier ones.
     responses: VecDeque<Option<Response>>,
+    /// The slot of the first entry of `responses`.
     first_slot: u64,
     pub(super) open_calls: Vec<CallIndex>,
-    /// Upstreams that stream a value to it.
+    /// Upstreams that are streaming a value to this client.
     pub(super) streaming: Vec<UpstreamId>,
-    /// Bytes of responses not yet written.
+    /// Bytes of its responses that are not written yet.
     pub(super) buffered_bytes: usize,
+    /// The connection is to be closed once the pending responses are sent.
     pub(super) closing: bool,
-    /// Its further API calls are rejected.
+    /// All further API calls of this client are rejected.
     pub(super) rejects_calls: bool,
     pub(super) last_active: Time,
-    /// It has made an API call.
+    /// The client has made an API call.
     pub(super) has_made_calls: bool,
-    /// Commands that could not be done.
+    /// Number of its commands that the node rejected with an error.
     pub(super) command_errors: usize,
 }
 
@@ -41,7 +45,8 @@
         }
     }
 
-    /// Nothing is owed to it. Guards against taking one that is sent a large value for one that can make room.
+    /// Returns whether the client is not closing, has no pending response and receives no streamed
+    /// value. Without the last check, a client that is receiving a large value could be evicted.
     pub(super) fn is_idle(&self) -> bool {
         self.responses.is_empty() && self.streaming.is_empty() && !self.closing
     }
@@ -50,25 +55,25 @@
         self.responses.len()
     }
 
-    /// The slot of the next command.
+    /// Reserves the slot for the response to the next command.
     pub(super) fn reserve_slot(&mut self) -> ResponseSlot {
         self.responses.push_back(None);
         ResponseSlot(self.first_slot + self.responses.len() as u64 - 1)
     }
 
-    /// Whether the response of this slot has not gone out.
+    /// Returns whether the response of this slot has not been sent.
     pub(super) fn is_pending(&self, slot: ResponseSlot) -> bool {
-        let behind_first = slot.0.checked_sub(self.first_slot);
-        behind_first.is_some_and(|behind| (behind as usize) < self.responses.len())
+        let offset = slot.0.checked_sub(self.first_slot);
+        offset.is_some_and(|offset| (offset as usize) < self.responses.len())
     }
 
     /// Sets the response of a pending slot.
     pub(super) fn fill_slot(&mut self, slot: ResponseSlot, response: Response) {
-        let behind_first = (slot.0 - self.first_slot) as usize;
-        self.responses[behind_first] = Some(response);
+        let offset = (slot.0 - self.first_slot) as usize;
+        self.responses[offset] = Some(response);
     }
 
-    /// Takes the next response, if that of every command before is out.
+    /// Takes the response that is next in order, if it is ready.
     pub(super) fn pop_ready_response(&mut self) -> Option<Response> {
         let response = self.responses.front_mut()?.take()?;
         self.responses.pop_front();
@@ -76,19 +81,21 @@
         Some(response)
     }
 
-    /// Whether no API call waits behind this slot.
-    pub(super) fn has_no_call_behind(&self, slot: ResponseSlot) -> bool {
-        let behind = (slot.0 + 1).saturating_sub(self.first_slot) as usize;
+    /// Returns whether no API call is pending after this slot. Commands that the node answers
+    /// itself do not count.
+    pub(super) fn has_no_later_call(&self, slot: ResponseSlot) -> bool {
+        let next_offset = (slot.0 + 1).saturating_sub(self.first_slot) as usize;
         self.responses
             .iter()
-            .skip(behind)
+            .skip(next_offset)
             .all(|response| matches!(response, Some(Response::Plain(_))))
     }
 
-    /// Replaces the response that would be streamed by this upstream, if it has not gone out.
-    pub(super) fn replace_streamed(&mut self, from: UpstreamId, replacement: Response) -> bool {
+    /// Replaces the response that this upstream streams, if it has not been sent. Returns whether
+    /// it was replaced.
+    pub(super) fn replace_streamed(&mut self, id: UpstreamId, replacement: Response) -> bool {
         let streamed = self.responses.iter_mut().flatten().find(
-            |response| matches!(response, Response::Streamed { upstream, .. } if *upstream == from),
+            |response| matches!(response, Response::Streamed { upstream, .. } if *upstream == id),
         );
         match streamed {
             Some(response) => {
@@ -131,7 +138,7 @@
         self.records.keys().copied()
     }
 
-    /// Clients that are owed no response.
+    /// Returns the clients that have no pending response.
     pub(super) fn without_pending_responses(&self) -> Vec<ClientId> {
         let idle = self
             .records
@@ -140,8 +147,9 @@
         idle.map(|(id, _)| *id).collect()
     }
 
-    /// The idle client that is the first to make room, one without an API call before others. Guards against silent
-    /// clients that take the places of those that are at work.
+    /// Returns the idle client to evict first: one that has made no API call before any other, and
+    /// among equals the one idle longest. Without this order, clients that connect and send
+    /// nothing could displace those that make calls.
     pub(super) fn first_evictable(&self, now: Time, limits: &Limits) -> Option<ClientId> {
         let is_evictable = |client: &Client| {
             let after = if client.has_made_calls {
@@ -158,8 +166,10 @@
             .map(|(id, _)| *id)
     }
 
-    /// The client idle longest, where more have made API calls than are worth keeping. Guards against clients that ask
-    /// once and keep their connections: together they may hold only so many, and could ask no more.
+    /// Returns the client that has been idle longest, if more clients that have made API calls are
+    /// connected than the limit of idle clients. Without this, clients that make one call and keep
+    /// their connections open would reach the number of connections that all clients may hold
+    /// together, and could make no more calls.
     pub(super) fn surplus_idle(&self, now: Time, limits: &Limits) -> Option<ClientId> {
         if self.records.len() <= limits.idle_clients {
             return None;
--- a/crates/node/src/reducer/connections.rs
+++ b/crates/node/src/reducer/connections.rs
@@ -1,4 +1,5 @@
-//! How clients' connections and upstreams are closed: when they have to go, and which makes room for another.
+//! Closes clients' connections and upstreams: when their time is over, and to free a socket for
+//! another connection.
 use quartzhub_policy::{EndpointState, Outcome, ServerIndex, Span, Time};
 
 use super::node_state::NodeState;
@@ -9,22 +10,23 @@
 use crate::service::IdleClientPolicy;
 
 impl NodeState {
-    /// Closes a client once it has its responses.
+    /// Closes a client's connection once its responses are sent.
     pub(super) fn close_client(&mut self, id: ClientId) {
-        let quiet = match self.idle_client_policy() {
-            IdleClientPolicy::CloseAfter(quiet) => quiet,
+        let silence = match self.idle_client_policy() {
+            IdleClientPolicy::CloseAfter(silence) => silence,
             IdleClientPolicy::Keep => Span::ZERO,
         };
         if let Some(client) = self.clients.get_mut(id) {
             client.closing = true;
             self.effects.push_back(Effect::CloseClient {
                 client: id,
-                after_silence: quiet,
+                after_silence: silence,
             });
         }
     }
 
-    /// The node drains or stops: idle clients are closed now, or when the service state says so.
+    /// Handles the start of a drain or a shutdown: idle clients are closed now or later, as the
+    /// service state requires.
     pub(super) fn on_service_leaving(&mut self) {
         for after in [
             self.limits.leave_notice,
@@ -36,7 +38,7 @@
         self.close_idle_clients();
     }
 
-    /// Closes clients without an open command, where the service state says so.
+    /// Closes clients without a pending response, if the service state requires it.
     pub(super) fn close_idle_clients(&mut self) {
         if self.idle_client_policy() == IdleClientPolicy::Keep {
             return;
@@ -50,44 +52,47 @@
         }
     }
 
-    /// Closes an idle client that need not be kept, if there is one.
+    /// Closes the client that is first in the order of eviction. Returns whether there is one.
     pub(super) fn evict_client(&mut self) -> bool {
         let evictable = self.clients.first_evictable(self.now, &self.limits);
         self.close_found_client(evictable)
     }
 
-    /// Closes an idle client, where there are more than are worth keeping.
+    /// Closes an idle client if there are more of them than the limit.
     pub(super) fn close_surplus_client(&mut self) {
         if let Some(id) = self.clients.surplus_idle(self.now, &self.limits) {
             self.close_client(id);
         }
     }
 
-    /// Closes the client that has been idle longest, if one is.
+    /// Closes the client that has been idle longest. Returns whether any client is idle.
     pub(super) fn close_longest_idle_client(&mut self) -> bool {
-        let idlest = self.clients.longest_idle();
-        self.close_found_client(idlest)
+        let longest_idle = self.clients.longest_idle();
+        self.close_found_client(longest_idle)
     }
 
-    /// Closes the upstream that has been idle longest, if one is.
+    /// Closes the upstream that has been idle longest. Returns whether any upstream is idle.
     pub(super) fn close_longest_idle_upstream(&mut self) -> bool {
-        let idlest = self.upstreams.longest_idle();
-        idlest.and_then(|id| self.close_upstream(id)).is_some()
+        let longest_idle = self.upstreams.longest_idle();
+        longest_idle
+            .and_then(|id| self.close_upstream(id))
+            .is_some()
     }
 
-    /// Whether a new connection to a server needs that another one is closed.
+    /// Returns whether a connection must be closed before a new upstream can be opened.
     pub(super) fn is_short_of_sockets(&self) -> bool {
         self.socket_count() + self.limits.client_only_sockets >= self.limits.sockets
     }
 
-    /// Closes the idle connection that is needed least, if there is one.
-    pub(super) fn make_room_for_upstream(&mut self) -> bool {
+    /// Closes the least useful idle connection, so that a new upstream can be opened. Returns
+    /// whether any connection is idle.
+    pub(super) fn free_socket_for_upstream(&mut self) -> bool {
         self.evict_client()
             || self.close_longest_idle_upstream()
             || self.close_longest_idle_client()
     }
 
-    /// Takes an upstream out of all tables; its socket is closed by an effect or is gone already.
+    /// Removes an upstream from all tables. Its socket is closed by an effect, or closed already.
     pub(super) fn remove_upstream(&mut self, id: UpstreamId) -> Option<Upstream> {
         let upstream = self.upstreams.remove(id)?;
         self.timers.cancel(upstream.deadline, Timer::Upstream(id));
@@ -122,7 +127,8 @@
         }
     }
 
-    /// Keeps an upstream for the next attempt, or closes it where it is not worth keeping.
+    /// Keeps an upstream idle for the next attempt, or closes it if its server is not ready or the
+    /// limits of idle upstreams are reached.
     pub(super) fn return_upstream_to_pool(&mut self, id: UpstreamId) {
         let pool_is_full = self.upstreams.len() > self.limits.pooled_upstreams;
         let Some(upstream) = self.upstreams.get_mut(id) else {
@@ -148,14 +154,14 @@
         }
     }
 
-    /// The present use of an upstream does not end by itself any more.
+    /// Removes the time limit of an upstream's current use.
     pub(super) fn cancel_upstream_timer(&mut self, id: UpstreamId) {
         if let Some(upstream) = self.upstreams.get(id) {
             self.timers.cancel(upstream.deadline, Timer::Upstream(id));
         }
     }
 
-    /// An upstream's present use has lasted too long.
+    /// Handles an upstream whose current use has reached its deadline.
     pub(super) fn on_upstream_deadline(&mut self, id: UpstreamId, deadline: Time) {
         let is_current = |upstream: &Upstream| upstream.deadline == deadline;
         if !self.upstreams.get(id).is_some_and(is_current) {
@@ -179,7 +185,8 @@
             } => (attempt, Outcome::TimedOut),
             UpstreamUse::InFlight { attempt, .. } => (attempt, Outcome::Unreachable),
         };
-        // No server is to blame where an attempt is not made any more because it could take effect twice.
+        // The server is not blamed for an attempt that was not written because it could have taken
+        // effect twice.
         let outcome = if !upstream.is_request_written() && self.is_past_write_deadline(attempt) {
             Outcome::NotSent
         } else {
--- a/crates/node/src/reducer/endpoint_events.rs
+++ b/crates/node/src/reducer/endpoint_events.rs
@@ -1,4 +1,4 @@
-//! What discovery and operators report about servers.
+//! Events from discovery and operators about servers: endpoint lists and drain overrides.
 use std::collections::HashSet;
 
 use quartzhub_membership::ServerId;
@@ -6,17 +6,17 @@
 use quartzhub_settings::EndpointEntry;
 use thiserror::Error;
 
-use super::endpoint_list::{position, remove_superseded, ChangedServer};
+use super::endpoint_list::{find_server, remove_superseded, ChangedServer};
 use super::Reducer;
 use crate::config::{EndpointListEntry, EndpointListUpdate};
 
-/// Why a server may not be drained by operators.
+/// The reason why operators may not drain a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum DrainRejected {
-    /// This node does not know the server.
+    /// The server is not in this node's endpoint list.
     #[error("this node's list names no such server")]
     UnknownServer,
-    /// Nothing stands in for the origin.
+    /// The server is the origin, which has no replacement.
     #[error("the origin can't be drained")]
     Origin,
     /// Every other cache is draining or gone.
@@ -25,22 +25,24 @@
 }
 
 impl Reducer {
-    /// Applies an update of the endpoint list. `started` converts the Unix time of a server's start.
+    /// Applies an update of the endpoint list. `from_unix` converts the Unix time of a server's
+    /// start.
     pub fn on_endpoint_list(
         &mut self,
         now: Time,
         update: &EndpointListUpdate,
-        started: impl Fn(Option<f64>) -> Option<Time>,
+        from_unix: impl Fn(Option<f64>) -> Option<Time>,
     ) {
         self.advance_clock(now);
         if update.full {
             self.endpoint_list_rules
                 .mark_all_removed(&mut self.state.servers);
         }
-        let mut endpoints = self.apply_entries(&update.servers, &started);
+        let mut endpoints = self.apply_entries(&update.servers, &from_unix);
         let superseded = remove_superseded(&endpoints, &mut self.state.servers);
         for server in &superseded {
-            // Where a server that is Gone may stay in use, only Draining ends that.
+            // Where the settings keep delisted servers in use, the policy stops using a server only
+            // once it is draining, so it gets that state first.
             for state in [EndpointState::Draining, EndpointState::Gone] {
                 let entry = EndpointEntry {
                     name: &server.id,
@@ -56,12 +58,13 @@
         self.report_finished_attempts();
     }
 
-    /// Applies the entries of an update, in their order. Guards against a discovery that names new servers without
-    /// end, and against writing to a process that is no more.
+    /// Applies the entries of an update, in their order. New servers beyond the limit are ignored,
+    /// as discovery could name them without end. Idle upstreams to a server that has restarted are
+    /// closed, so that nothing is written to a process that has ended.
     fn apply_entries<'a>(
         &mut self,
         entries: &'a [EndpointListEntry],
-        started: &impl Fn(Option<f64>) -> Option<Time>,
+        from_unix: &impl Fn(Option<f64>) -> Option<Time>,
     ) -> Vec<Endpoint<'a>> {
         let state = &mut self.state;
         let mut endpoints = Vec::with_capacity(entries.len());
@@ -72,7 +75,7 @@
                 tracing::info!(
                     id,
                     known,
-                    "discovery: {id:?} is ignored, as {known} servers are known already"
+                    "discovery: server {id:?} ignored: {known} servers are known, which is the limit"
                 );
                 continue;
             }
@@ -80,7 +83,7 @@
                 entry,
                 &self.names,
                 &mut state.servers,
-                started,
+                from_unix,
             );
             if applied.restarted {
                 state.close_idle_upstreams(applied.endpoint.server);
@@ -90,7 +93,7 @@
         endpoints
     }
 
-    /// From now on these servers are drained by operators' override, and no others.
+    /// Replaces all of the operators' drain overrides: these servers are drained, and no others.
     pub fn on_drain_overrides(&mut self, now: Time, drained: HashSet<ServerId>) {
         self.advance_clock(now);
         let changed = self
@@ -109,17 +112,17 @@
         self.report_finished_attempts();
     }
 
-    /// A listed server as the policy is told of it, in the state that it has now.
+    /// Returns a listed server in the form passed to the policy, in its current state.
     fn changed_endpoint<'a>(&self, changed: &'a ChangedServer) -> Option<Endpoint<'a>> {
         let server = self.state.servers.get(changed.index)?;
         let listed = server.listed.as_ref()?;
         Some(listed.endpoint(changed.index, &changed.id, server.state))
     }
 
-    /// Why a server can't be drained by an override here, if it can't.
+    /// Checks whether operators may drain a server by an override on this node.
     pub fn check_drainable(&self, id: &str) -> Result<(), DrainRejected> {
         let servers = &self.state.servers;
-        let Some(index) = position(servers, ServerId::named(id)) else {
+        let Some(index) = find_server(servers, ServerId::named(id)) else {
             return Err(DrainRejected::UnknownServer);
         };
         if servers[index].is_origin {
@@ -135,9 +138,9 @@
         }
     }
 
-    /// The id of a server that an override names, where this node's list has it.
+    /// Returns the id of a server that an override names, if this node's list has it.
     pub fn server_id(&self, name: ServerId) -> Option<&str> {
         let servers = &self.state.servers;
-        Some(servers.id(position(servers, name)?))
+        Some(servers.id(find_server(servers, name)?))
     }
 }
--- a/crates/node/src/reducer/endpoint_list.rs
+++ b/crates/node/src/reducer/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list that this node uses: what discovery says of each server, and operators' drain overrides on top of
-//! it. An override only drains: attempts go only to servers that the list itself names in service.
+//! Applies endpoint lists from discovery, and operators' drain overrides on top of them. An
+//! override can only drain: attempts go only to servers that the list itself names in service.
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
@@ -12,24 +12,27 @@
 use super::servers::{Server, Servers};
 use crate::config::EndpointListEntry;
 
-/// The setting by which a server that the list drops without having drained may still be used.
-const DROPPED_ENDPOINTS_STAY_USABLE: &str = "invariants.dropped_stay_open";
-/// The setting that says which of the machine kinds is the origin's.
+/// The setting by which delisted servers (dropped from the list without having drained) stay in
+/// use.
+const DELISTED_ENDPOINTS_STAY_USABLE: &str = "invariants.dropped_stay_open";
+/// The setting that gives the index of the origin's machine kind.
 const ORIGIN_KIND: &str = "extra.origin_kind";
-/// The origin's machine kind where the settings do not say which it is.
+/// The name of the origin's machine kind if the settings give no index.
 const DEFAULT_ORIGIN_KIND: &str = "origin";
-/// States of the endpoint list. A server in one that this build does not know gets nothing new.
+/// The state in the endpoint list of a server that is in use. A server whose state is neither this
+/// nor `TERMINATED`, or is unknown to this version, gets no new attempts.
 const IN_SERVICE: &str = "in_service";
+/// The state in the endpoint list of a server that is gone.
 const TERMINATED: &str = "terminated";
 
-/// An entry of the list that was applied.
+/// The result of applying an entry of the list.
 pub(super) struct AppliedEntry<'a> {
     pub(super) endpoint: Endpoint<'a>,
-    /// The server is at another address, or its process is another one.
+    /// The server has another address or another process than before.
     pub(super) restarted: bool,
 }
 
-/// A server whose state changes although no entry of the list says so.
+/// A server whose state changes without an entry for it in the list.
 pub(super) struct ChangedServer {
     pub(super) index: ServerIndex,
     pub(super) id: String,
@@ -44,16 +47,17 @@
     }
 }
 
-/// What decides on a server's state, apart from its entry in the list.
+/// The rules that decide, together with the entries of the list, on the state of each server.
 pub(super) struct EndpointListRules {
-    /// Servers that operators have ordered drained.
+    /// Servers under an operator's drain override.
     drained: HashSet<ServerId>,
     /// Index of the origin's machine kind.
     origin_kind: usize,
-    dropped_endpoints_stay_usable: bool,
+    delisted_endpoints_stay_usable: bool,
 }
 
-/// The index of the origin's machine kind: as the settings say, or by its name.
+/// Returns the index of the origin's machine kind: the one in the settings, or that of its default
+/// name.
 fn origin_kind(settings: &Settings, names: &NameTable) -> usize {
     let configured = settings.number(ORIGIN_KIND, -1.0);
     if configured >= 0.0 {
@@ -63,8 +67,9 @@
     }
 }
 
-/// The state with the overrides applied. The origin has no replacement, so it is never drained by an override.
-fn overridden(listed: EndpointState, is_origin: bool, is_drained: bool) -> EndpointState {
+/// Returns a server's state with the overrides applied. The origin has no replacement, so an
+/// override never drains it.
+fn effective_state(listed: EndpointState, is_origin: bool, is_drained: bool) -> EndpointState {
     if listed == EndpointState::Ready && is_drained && !is_origin {
         EndpointState::Draining
     } else {
@@ -72,8 +77,8 @@
     }
 }
 
-/// When the server of an entry started. Guards against a server that seems to start again when the wall clock is
-/// stepped: the time is converted once.
+/// Returns when the server of an entry started. An unchanged Unix time is not converted again:
+/// otherwise a step of the wall clock would look like a restart of the server.
 fn start_time(
     server: &Server,
     entry: &EndpointListEntry,
@@ -90,18 +95,19 @@
         EndpointListRules {
             drained: HashSet::new(),
             origin_kind: origin_kind(settings, names),
-            dropped_endpoints_stay_usable: settings.flag(DROPPED_ENDPOINTS_STAY_USABLE),
+            delisted_endpoints_stay_usable: settings.flag(DELISTED_ENDPOINTS_STAY_USABLE),
         }
     }
 
     pub(super) fn reconfigure(&mut self, settings: &Settings, names: &NameTable) {
         self.origin_kind = origin_kind(settings, names);
-        self.dropped_endpoints_stay_usable = settings.flag(DROPPED_ENDPOINTS_STAY_USABLE);
+        self.delisted_endpoints_stay_usable = settings.flag(DELISTED_ENDPOINTS_STAY_USABLE);
     }
 
-    /// A complete list is to follow: until it names them, all servers are removed.
+    /// Marks all servers as removed before a complete list is applied. The entries of that list
+    /// then set the state of each server that they name.
     pub(super) fn mark_all_removed(&self, servers: &mut Servers) {
-        let stay_usable = self.dropped_endpoints_stay_usable;
+        let stay_usable = self.delisted_endpoints_stay_usable;
         for (_, server) in servers.iter_mut() {
             server.state = server.state.after_removal(stay_usable);
             if let Some(listed) = &mut server.listed {
@@ -110,27 +116,27 @@
         }
     }
 
-    /// Applies an entry of the list. `started` converts the Unix time of the server's start.
+    /// Applies an entry of the list. `from_unix` converts the Unix time of the server's start.
     pub(super) fn apply_entry<'a>(
         &self,
         entry: &'a EndpointListEntry,
         names: &NameTable,
         servers: &mut Servers,
-        started: &impl Fn(Option<f64>) -> Option<Time>,
+        from_unix: &impl Fn(Option<f64>) -> Option<Time>,
     ) -> AppliedEntry<'a> {
         let index = servers.intern(&entry.id);
         let id = ServerId::named(&entry.id);
         let server = &mut servers[index];
         let listed_state = self.listed_state(server, entry);
-        let started = start_time(server, entry, started);
+        let started = start_time(server, entry, from_unix);
         let restarted = server.update_process(entry.addr, started);
-        // Guards against speaking to an origin as to a cache while the settings are those of the deployment to
-        // come and the list is still the old one: a kind without a name changes nothing.
+        // A kind that the settings do not name changes nothing. Otherwise the node would address
+        // an origin as a cache while a deployment has replaced the settings but not the list yet.
         let kind = index_of(&names.kinds, entry.kind.as_deref());
         if kind != usize::MAX {
             server.is_origin = kind == self.origin_kind;
         }
-        server.state = overridden(listed_state, server.is_origin, self.drained.contains(&id));
+        server.state = effective_state(listed_state, server.is_origin, self.drained.contains(&id));
 
         let endpoint = self.policy_endpoint(index, entry, server, names);
         let listed = ListedEndpoint::new(id, listed_state, &endpoint, entry.started_ms);
@@ -141,7 +147,7 @@
         }
     }
 
-    /// An entry as the policy is told of it.
+    /// Returns an entry in the form passed to the policy.
     fn policy_endpoint<'a>(
         &self,
         index: ServerIndex,
@@ -155,7 +161,7 @@
             zone: entry.zone.as_deref(),
             kind: entry.kind.as_deref(),
             cell: entry.cell,
-            // The policy is told of the loss as it stands in the list.
+            // The policy gets a termination as the list states it, even if the server stays in use.
             state: if is_terminated {
                 EndpointState::Gone
             } else {
@@ -171,7 +177,8 @@
         endpoint
     }
 
-    /// The state that an entry gives its server, by the state that the list gave it before.
+    /// Returns the state that an entry gives its server. It depends on the state that the list
+    /// gave the server before.
     fn listed_state(&self, server: &Server, entry: &EndpointListEntry) -> EndpointState {
         let before = server
             .listed
@@ -179,12 +186,12 @@
             .map_or(EndpointState::Gone, |listed| listed.state);
         match entry.state.as_deref() {
             Some(IN_SERVICE) => EndpointState::Ready,
-            Some(TERMINATED) => before.after_removal(self.dropped_endpoints_stay_usable),
+            Some(TERMINATED) => before.after_removal(self.delisted_endpoints_stay_usable),
             _ => EndpointState::Draining,
         }
     }
 
-    /// Applies these drain overrides, and no others. Returns the servers whose state changes by it.
+    /// Replaces all drain overrides by these. Returns the servers whose state changes.
     pub(super) fn override_drained(
         &mut self,
         drained: HashSet<ServerId>,
@@ -197,7 +204,7 @@
                 continue;
             };
             let is_drained = self.drained.contains(&listed.id);
-            let state = overridden(listed.state, server.is_origin, is_drained);
+            let state = effective_state(listed.state, server.is_origin, is_drained);
             if state != server.state {
                 server.state = state;
                 changed.push(index);
@@ -210,8 +217,9 @@
     }
 }
 
-/// Removes servers whose address one of `endpoints` has now, although the list does not say that they have gone.
-/// Guards against writing to the new server what was meant for the one before.
+/// Marks servers as gone that the list does not report as gone, but whose address now belongs to
+/// one of `endpoints`. Without this, attempts for the earlier server would be written to the new
+/// one. Returns the servers marked.
 pub(super) fn remove_superseded(
     endpoints: &[Endpoint],
     servers: &mut Servers,
@@ -243,8 +251,8 @@
         .collect()
 }
 
-/// The index of a listed server.
-pub(super) fn position(servers: &Servers, id: ServerId) -> Option<ServerIndex> {
+/// Returns the index of the listed server with this id.
+pub(super) fn find_server(servers: &Servers, id: ServerId) -> Option<ServerIndex> {
     let is_named = |server: &Server| server.listed.as_ref().is_some_and(|listed| listed.id == id);
     servers
         .iter()
--- a/crates/node/src/reducer/listed_endpoint.rs
+++ b/crates/node/src/reducer/listed_endpoint.rs
@@ -1,8 +1,8 @@
-//! What discovery said of a server last, without operators' overrides.
+//! The latest entry of a server in the endpoint list, before operators' drain overrides.
 use quartzhub_membership::ServerId;
 use quartzhub_policy::{Endpoint, EndpointState, ServerIndex, Time};
 
-/// A server as the endpoint list names it.
+/// A server as the endpoint list reports it.
 pub(super) struct ListedEndpoint {
     pub(super) id: ServerId,
     pub(super) state: EndpointState,
@@ -11,12 +11,12 @@
     cell: u32,
     scale: f64,
     pub(super) started: Option<Time>,
-    /// The Unix time, in milliseconds, in which the list gave its start.
+    /// The start of its process as the list reports it: Unix time, in milliseconds.
     pub(super) started_unix_ms: Option<f64>,
 }
 
 impl ListedEndpoint {
-    /// What `endpoint` says, but for the state, which the list gives as `state`.
+    /// Creates a record from `endpoint`, except for the state: `state` is the one in the list.
     pub(super) fn new(
         id: ServerId,
         state: EndpointState,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The endpoint as the policy is told of it, in this state.
+    /// Returns the endpoint in the form passed to the policy, in this state.
     pub(super) fn endpoint<'a>(
         &self,
         server: ServerIndex,
--- a/crates/node/src/reducer/mod.rs
+++ b/crates/node/src/reducer/mod.rs
@@ -1,11 +1,13 @@
-//! The one place where state changes. It owns the policy and the tables of clients, API calls, attempts, upstreams and
-//! servers; sockets report to it by its methods, and it asks them for reading and writing by effects. It has no socket
-//! and no clock.
+//! The reducer: the only code that changes the node's state. It owns the policy and the tables of
+//! clients, API calls, attempts, upstreams and servers. The sockets report events by calling its
+//! methods, and carry out the effects that it queues (connect, write, close). It has no socket and
+//! no clock of its own: the caller passes the time with each event.
 //!
-//! - `*_events`: what is reported to the reducer, by who reports it;
-//! - `calls`, `clients`, `upstreams`, `servers`, `endpoint_list`, `timers`: a table each, with its records;
-//! - `node_state`: the tables together, on which the policy acts by `policy_actions`;
-//! - `attempts`, `responses`, `connections`: the steps that concern several tables.
+//! - `*_events`: the events that the reducer handles, one module for each source;
+//! - `calls`, `clients`, `upstreams`, `servers`, `endpoint_list`, `timers`: one table each, with
+//!   its records;
+//! - `node_state`: all tables together; the policy acts on them through `policy_actions`;
+//! - `attempts`, `responses`, `connections`: steps that involve several tables.
 use quartzhub_policy::{AttemptResult, Balancer, CallIndex, NodeLoad, Product, Time};
 use quartzhub_settings::{policy_config, products, NameTable, Settings};
 use rustc_hash::FxHashMap;
@@ -43,13 +45,14 @@
     AcceptCapacity, ClientId, Effect, Request, RequestAttributes, Response, UpstreamId,
 };
 
-/// The node without its sockets. Each report takes the time at which it is made.
+/// The state and logic of the node, without its sockets. Methods that handle an event take the
+/// time of that event.
 pub struct Reducer {
     balancer: Balancer,
     state: NodeState,
     names: NameTable,
     products: Vec<Product>,
-    /// Each product's response counter.
+    /// The response counter of each product, by the product's index.
     product_counters: Vec<Option<CounterIndex>>,
     endpoint_list_rules: EndpointListRules,
     replaced_limits: Option<ReplacedLimits>,
@@ -57,13 +60,14 @@
     rejected_reloads: u64,
 }
 
-/// Limits that held until the settings changed. After changes in quick succession, those with the shortest shutdown.
+/// The limits in force before the settings last changed. After several changes in quick
+/// succession, those with the shortest shutdown.
 struct ReplacedLimits {
     replaced_at: Time,
     limits: Limits,
 }
 
-/// The response counter of each product in `names`.
+/// Returns the response counter of each product in `names`.
 fn product_counters(
     names: &NameTable,
     counters: &mut ProductCounters,
@@ -77,7 +81,7 @@
 }
 
 impl Reducer {
-    /// A node that has not started, with no servers and no clients.
+    /// Creates a node that has not started, with no servers and no clients.
     pub fn new(config: &Config) -> Reducer {
         let names = NameTable::new(&config.settings);
         let mut counters = ProductCounters::default();
@@ -95,8 +99,8 @@
         }
     }
 
-    /// Applies other settings. Open API calls keep the rules that they started under, counters go on, and the policy
-    /// keeps what it learnt where that still means the same.
+    /// Applies changed settings. Open API calls keep the rules that they started under, counters
+    /// are not reset, and the policy keeps the learnt state that is still valid.
     pub fn reconfigure(&mut self, now: Time, settings: &Settings) {
         self.advance_clock(now);
         self.names.update(settings);
@@ -105,25 +109,25 @@
             product_counters(&self.names, &mut self.state.counters, &self.state.limits);
         self.products = products(settings);
         let new_limits = self.state.limits.retuned(settings);
-        let before = std::mem::replace(&mut self.state.limits, new_limits);
-        let shortest = match self.limits_before(now) {
-            Some(earlier) if earlier.shutdown_limit < before.shutdown_limit => earlier.clone(),
-            _ => before,
+        let replaced = std::mem::replace(&mut self.state.limits, new_limits);
+        let shortest_shutdown = match self.limits_before(now) {
+            Some(earlier) if earlier.shutdown_limit < replaced.shutdown_limit => earlier.clone(),
+            _ => replaced,
         };
         self.replaced_limits = Some(ReplacedLimits {
             replaced_at: now,
-            limits: shortest,
+            limits: shortest_shutdown,
         });
         self.balancer.reconfigure(&policy_config(settings));
     }
 
-    /// The limits that hold now.
+    /// Returns the limits in force.
     pub fn limits(&self) -> &Limits {
         &self.state.limits
     }
 
-    /// The limits that held until the settings changed, where that was so shortly before that clients may not know of
-    /// it.
+    /// Returns the limits in force before the settings last changed, if that change is so recent
+    /// that clients may still use the earlier settings.
     pub fn limits_before(&self, now: Time) -> Option<&Limits> {
         let replaced = self.replaced_limits.as_ref()?;
         let is_recent = now - replaced.replaced_at < self.state.limits.settings_propagation;
@@ -137,8 +141,9 @@
         self.report_finished_attempts();
     }
 
-    /// The next effect to be carried out. Guards against an attempt that is cancelled between being asked for and being
-    /// written: what concerns an upstream that is no more is left out.
+    /// Takes the next effect to carry out. Writes and connects of an upstream that is closed
+    /// already are skipped: without this, an attempt that was cancelled after its effect had been
+    /// queued would still be written.
     pub fn next_effect(&mut self) -> Option<Effect> {
         loop {
             match self.state.effects.pop_front()? {
@@ -149,27 +154,27 @@
         }
     }
 
-    /// When `on_timer` is to be called.
+    /// Returns the time at which `on_timer` is to be called next.
     pub fn next_timer(&self) -> Option<Time> {
         self.state.timers.next_expiry()
     }
 
-    /// Bytes held for API calls and responses.
+    /// Returns the number of bytes buffered for API calls and responses.
     pub fn buffered_bytes(&self) -> usize {
         self.state.buffered_bytes
     }
 
-    /// This node's own load, for the others.
+    /// Returns this node's own load, as it is reported to the other nodes.
     pub fn load(&self) -> NodeLoad {
         self.balancer.load()
     }
 
-    /// API calls that are open, and values that are being streamed.
+    /// Returns the number of open API calls and of values being streamed, together.
     pub fn open_call_count(&self) -> usize {
         self.state.calls.len() + self.state.upstreams.streaming_count()
     }
 
-    /// Does what is due by now.
+    /// Runs every timer that has expired by `now`.
     pub fn on_timer(&mut self, now: Time) {
         self.advance_clock(now);
         while let Some(TimerEntry { at, timer }) = self.state.timers.pop_expired(now) {
@@ -186,14 +191,15 @@
         }
     }
 
-    /// Guards against an API call that would never be answered, whatever went wrong.
+    /// Ends an API call that still has no final response well after its client timeout. Without
+    /// this, a fault that loses track of a call would leave its client without any response.
     fn on_call_overdue(&mut self, now: Time, index: CallIndex) {
         let overdue_after = self.state.limits.call_overdue_after;
-        let is_overdue = |call: &Call| !call.answered && call.deadline + overdue_after <= now;
+        let is_overdue = |call: &Call| !call.finished && call.deadline + overdue_after <= now;
         if !self.state.calls.get(index).is_some_and(is_overdue) {
             return;
         }
-        tracing::warn!("API call still open at its client timeout");
+        tracing::warn!("API call still open after its client timeout");
         self.state
             .finish_call(index, Response::Error("no answer in time"));
         self.balancer
@@ -204,21 +210,22 @@
         self.state.now = self.state.now.max(now);
     }
 
-    /// Tells the policy of attempts that ended, until none is left.
+    /// Reports finished attempts to the policy until the queue is empty, including those that the
+    /// policy itself finishes in response.
     fn report_finished_attempts(&mut self) {
         while let Some(finished) = self.state.finished_attempts.pop_front() {
             let id = finished.attempt;
             let Some(call) = self.state.calls.get(id.call) else {
                 continue;
             };
-            let Some(attempt) = call.attempts.get(id.number) else {
+            let Some(attempt) = call.attempts.get(id.index) else {
                 continue;
             };
             let result = AttemptResult {
-                attempt: id.number,
+                attempt: id.index,
                 outcome: finished.outcome,
                 latency: self.state.now - attempt.started,
-                call_finished: call.answered,
+                call_finished: call.finished,
             };
             self.balancer
                 .on_attempt_result(self.state.now, id.call, result, &mut self.state);
@@ -226,14 +233,14 @@
     }
 }
 
-/// A table that fills less than this part of its capacity is shrunk.
-const SPARSE_PART: usize = 8;
-/// The capacity that it keeps, as a multiple of its entries.
-const KEPT_CAPACITY: usize = 2;
+/// A table with fewer entries than its capacity divided by this is shrunk.
+const SPARSE_DIVISOR: usize = 8;
+/// Capacity that a shrunk table keeps, as a multiple of its entries.
+const KEPT_CAPACITY_FACTOR: usize = 2;
 
-/// Gives back memory that a table took in its busiest minute.
+/// Releases capacity that a table gained at peak load and no longer needs.
 pub fn shrink<K: Eq + std::hash::Hash, T>(table: &mut FxHashMap<K, T>) {
-    if table.len() < table.capacity() / SPARSE_PART {
-        table.shrink_to(KEPT_CAPACITY * table.len());
+    if table.len() < table.capacity() / SPARSE_DIVISOR {
+        table.shrink_to(KEPT_CAPACITY_FACTOR * table.len());
     }
 }
--- a/crates/node/src/reducer/node_state.rs
+++ b/crates/node/src/reducer/node_state.rs
@@ -14,14 +14,15 @@
 use crate::metrics::ProductCounters;
 use crate::service::{IdleClientPolicy, ServiceState};
 
-/// The node apart from the policy: clients, API calls, upstreams, servers and timers, and the effects that the sockets
-/// are to carry out.
+/// The node's state apart from the policy: clients, API calls, upstreams, servers and timers, and
+/// the effects that the sockets are to carry out.
 ///
-/// The reducer lends it to the policy for the length of each call, and the policy acts on it through `PolicyActions`.
-/// So nothing in here calls the policy: an attempt that ends is queued in `finished_attempts`, and the reducer reports
-/// it once the policy has returned.
+/// The reducer lends it to the policy for the duration of each policy call, and the policy acts on
+/// it through `PolicyActions`. Code on this type therefore can't call the policy: a finished
+/// attempt is queued in `finished_attempts`, and the reducer reports it once the policy has
+/// returned.
 pub(super) struct NodeState {
-    /// The time of the latest report.
+    /// The time of the latest event.
     pub(super) now: Time,
     pub(super) limits: Limits,
     pub(super) servers: Servers,
@@ -33,11 +34,11 @@
     pub(super) effects: VecDeque<Effect>,
     pub(super) service: ServiceState,
     pub(super) counters: ProductCounters,
-    /// Attempts whose last byte is written, to a cache or to the origin.
+    /// Number of attempts written in full, to a cache or to the origin.
     pub(super) written_attempts: u64,
-    /// Bytes of values and responses that the node holds.
+    /// Bytes of values and responses that the node has buffered.
     pub(super) buffered_bytes: usize,
-    /// When every API call must be answered, as the process is about to end.
+    /// When every API call must have its final response; set during a graceful shutdown.
     pub(super) response_deadline: Option<Time>,
     pub(super) stall: StallDetector,
     last_connection_id: u64,
@@ -65,13 +66,13 @@
         }
     }
 
-    /// A new id for a client or an upstream.
+    /// Returns a new id for a client or an upstream.
     pub(super) fn next_connection_id(&mut self) -> u64 {
         self.last_connection_id += 1;
         self.last_connection_id
     }
 
-    /// Connections from clients and to servers.
+    /// Returns the number of connections from clients and to servers.
     pub(super) fn socket_count(&self) -> usize {
         self.clients.len() + self.upstreams.len()
     }
@@ -80,7 +81,7 @@
         self.service.idle_client_policy(self.now, &self.limits)
     }
 
-    /// Notes the end of an attempt for the policy.
+    /// Queues the end of an attempt, to be reported to the policy.
     pub(super) fn finish_attempt(&mut self, attempt: AttemptId, outcome: Outcome) {
         let Some(record) = self.calls.attempt_mut(attempt) else {
             return;
@@ -90,7 +91,8 @@
             .push_back(FinishedAttempt { attempt, outcome });
     }
 
-    /// When an API call without a response is answered with an error, whatever went wrong.
+    /// Schedules the timer that ends an API call with an error if it has no final response by
+    /// then, whatever the cause.
     pub(super) fn schedule_overdue_timer(&mut self, index: CallIndex, deadline: Time) {
         self.timers.schedule(
             deadline + self.limits.call_overdue_after,
@@ -105,8 +107,8 @@
         );
     }
 
-    /// For how long the process has just stalled, if it has.
+    /// Returns the duration of a stall that the process has just had, or zero if there was none.
     pub(super) fn stall_duration(&self) -> Span {
-        self.stall.unread_for(self.now, &self.limits)
+        self.stall.unread_duration(self.now, &self.limits)
     }
 }
--- a/crates/node/src/reducer/policy_actions.rs
+++ b/crates/node/src/reducer/policy_actions.rs
@@ -1,4 +1,4 @@
-//! What the policy asks of the node.
+//! Carries out the actions that the policy decides on.
 use quartzhub_policy::{CallIndex, Outcome, PolicyActions, ServerIndex, Span, Time};
 
 use super::calls::{Attempt, AttemptId};
@@ -13,7 +13,7 @@
         let Some(record) = self.calls.get_mut(call) else {
             return;
         };
-        let number = record.attempts.len();
+        let index = record.attempts.len();
         record.attempts.push(Attempt {
             server,
             started: now,
@@ -21,13 +21,13 @@
             write_by,
             upstream: None,
         });
-        self.start_attempt(AttemptId { call, number }, server);
+        self.start_attempt(AttemptId { call, index }, server);
     }
 
     fn cancel(&mut self, call: CallIndex, attempt: usize) {
         let attempt = AttemptId {
             call,
-            number: attempt,
+            index: attempt,
         };
         let Some(id) = self
             .calls
@@ -66,13 +66,14 @@
         }
     }
 
-    /// Guards against an upstream to a server that has gone being taken for one to the next under its index.
+    /// Releases a server, and closes all upstreams to it. Without this, one of them could be taken
+    /// for an upstream to the next server that gets the same index.
     fn release_server(&mut self, server: ServerIndex) {
         for id in self.upstreams.ids_of_server(server) {
             let Some(upstream) = self.close_upstream(id) else {
                 continue;
             };
-            // A value that it streams breaks off.
+            // The value that it was streaming breaks off.
             if let UpstreamUse::Streaming(target) = upstream.current_use {
                 self.on_streaming_failed(id, target);
             }
--- a/crates/node/src/reducer/responses.rs
+++ b/crates/node/src/reducer/responses.rs
@@ -1,4 +1,4 @@
-//! How commands and API calls get their responses, in the order of each client's commands.
+//! Sends commands and API calls their responses, in the order of each client's commands.
 use quartzhub_policy::CallIndex;
 
 use super::calls::Call;
@@ -9,7 +9,7 @@
 use crate::service::IdleClientPolicy;
 
 impl NodeState {
-    /// The slot in which the client's next command gets its response.
+    /// Reserves the slot for the response to the client's next command.
     pub(super) fn reserve_response_slot(&mut self, id: ClientId) -> Option<ResponseSlot> {
         let client = self.clients.get_mut(id)?;
         client.last_active = self.now;
@@ -20,7 +20,8 @@
         Some(slot)
     }
 
-    /// Gives one command its response; it goes out once those before it have.
+    /// Sets the response to one command. It is sent once the responses to all earlier commands of
+    /// the client have been sent.
     pub(super) fn respond(&mut self, id: ClientId, slot: ResponseSlot, response: Response) {
         let Some(client) = self.clients.get_mut(id) else {
             return;
@@ -28,7 +29,8 @@
         if !client.is_pending(slot) {
             return;
         }
-        // Guards against a client that takes no responses, or many at once, filling the memory.
+        // Without this limit, a client that reads no responses, or has many of them at once, could
+        // use up the memory.
         let fits = self.buffered_bytes + response.size() <= self.limits.buffered_bytes
             || response.size() < self.limits.short_response_bytes;
         let response = if fits {
@@ -46,9 +48,9 @@
                 response,
             });
         }
-        let all_answered = client.pending_responses() == 0;
+        let all_responded = client.pending_responses() == 0;
         let closing = client.closing || self.idle_client_policy() != IdleClientPolicy::Keep;
-        if all_answered && closing {
+        if all_responded && closing {
             self.close_client(id);
         }
     }
@@ -71,16 +73,16 @@
         index
     }
 
-    /// Gives an API call its one final response.
+    /// Sends an API call its final response.
     pub(super) fn finish_call(&mut self, index: CallIndex, response: Response) {
-        let Some(call) = self.calls.get(index).filter(|call| !call.answered) else {
+        let Some(call) = self.calls.get(index).filter(|call| !call.finished) else {
             return;
         };
         let client_id = call.client;
         let slot = call.slot;
         let counter = call.counter;
-        self.calls.mark_answered(index);
-        // A streamed one counts once its last byte is out.
+        self.calls.mark_finished(index);
+        // A streamed response is counted once its last byte is written.
         if !matches!(response, Response::Streamed { .. }) {
             self.counters.count(counter, &response);
         }
@@ -91,8 +93,9 @@
         self.cancel_unwritten_attempts(index);
     }
 
-    /// A value breaks off while it is streamed. Guards against a client that would wait for the rest or take the next
-    /// response for it; one that was told nothing yet gets an error.
+    /// Handles a value that breaks off while it is streamed. The connection of a client that has
+    /// received part of it is aborted, as the client would wait for the rest or take the next
+    /// response for it; a client that has received nothing of it gets an error.
     pub(super) fn on_streaming_failed(&mut self, id: UpstreamId, target: StreamTarget) {
         self.counters.count(target.counter, &Response::Error(""));
         let Some(client) = self.clients.get_mut(target.client) else {
--- a/crates/node/src/reducer/servers.rs
+++ b/crates/node/src/reducer/servers.rs
@@ -1,4 +1,4 @@
-//! Servers by their index: where they are and whether they may be used.
+//! The table of servers: the address and state of each, and its idle upstreams.
 use std::net::SocketAddr;
 
 use quartzhub_policy::{EndpointState, Time};
@@ -7,22 +7,22 @@
 use super::listed_endpoint::ListedEndpoint;
 use crate::messages::UpstreamId;
 
-/// A server as attempts are sent to it.
+/// A cache or the origin.
 #[derive(Default)]
 pub(super) struct Server {
     pub(super) addr: Option<SocketAddr>,
     pub(super) started: Option<Time>,
     pub(super) is_origin: bool,
     pub(super) state: EndpointState,
-    /// What the list said of it last.
+    /// Its latest entry in the endpoint list.
     pub(super) listed: Option<ListedEndpoint>,
     /// Idle upstreams, the newest last.
     pub(super) idle_upstreams: Vec<UpstreamId>,
 }
 
 impl Server {
-    /// Takes over where the list says that the server's process is, and since when. Returns whether that is another
-    /// process than before.
+    /// Sets the address and the start time of the server's process, as the endpoint list reports
+    /// them. Returns whether this is another process than before.
     pub(super) fn update_process(
         &mut self,
         addr: Option<SocketAddr>,
--- a/crates/node/src/reducer/service_events.rs
+++ b/crates/node/src/reducer/service_events.rs
@@ -1,4 +1,5 @@
-//! What the process and operators report and ask: service state, graceful shutdown, reloads and metrics.
+//! Events from the process and from operators: service state, graceful shutdown, reloads and
+//! metrics.
 use quartzhub_policy::{EndpointState, Span, Time};
 
 use super::Reducer;
@@ -6,15 +7,16 @@
 use crate::service::IdleClientPolicy;
 
 impl Reducer {
-    /// No API call is given longer than until `deadline`, those that are open included. Guards against a client timeout
-    /// beyond the time that a planned restart leaves: the end of the process would take the call's response with it.
+    /// Limits the deadline of every API call, including open ones, to `deadline`. Without this, a
+    /// call whose client timeout is longer than the time before a planned restart would lose its
+    /// response when the process exits.
     pub fn set_response_deadline(&mut self, deadline: Time) {
         let state = &mut self.state;
         let deadline = state
             .response_deadline
             .map_or(deadline, |earlier| earlier.min(deadline));
         state.response_deadline = Some(deadline);
-        for index in state.calls.unanswered() {
+        for index in state.calls.unfinished() {
             let Some(call) = state.calls.get_mut(index) else {
                 continue;
             };
@@ -28,49 +30,50 @@
         }
     }
 
-    /// For how long the process has just stalled, if it has.
+    /// Returns the duration of a stall that the process has just had, or zero if there was none.
     pub fn stall_duration(&mut self, now: Time) -> Span {
         self.advance_clock(now);
         self.state.stall_duration()
     }
 
-    /// From now on clients are closed between responses, for good.
+    /// Handles the start of the graceful shutdown: from now on clients are closed between
+    /// responses, and the node does not return to service.
     pub fn on_shutdown(&mut self, now: Time) {
         self.advance_clock(now);
         self.state.service.stop(now);
         self.state.on_service_leaving();
     }
 
-    /// The process accepts clients.
+    /// Handles the start of listening: from now on the process accepts clients.
     pub fn on_listening(&mut self) {
         self.state.service.on_listening();
     }
 
-    /// Operators take the node out of service: the front is told so, and once it knows, clients are closed between
-    /// responses.
+    /// Takes the node out of service on an operator's request: the front is notified, and once it
+    /// has had time to react, clients are closed between responses.
     pub fn leave_service(&mut self, now: Time) {
         self.advance_clock(now);
         self.state.service.start_draining(now);
         self.state.on_service_leaving();
     }
 
-    /// Operators put the node back in service.
+    /// Puts the node back in service on an operator's request.
     pub fn enter_service(&mut self, now: Time) {
         self.advance_clock(now);
         self.state.service.resume();
     }
 
-    /// Whether clients are closed between responses, as the node drains or stops.
+    /// Returns whether clients are closed between responses, as the node drains or stops.
     pub fn is_leaving(&self) -> bool {
         self.state.idle_client_policy() != IdleClientPolicy::Keep
     }
 
-    /// Whether the node is in service.
+    /// Returns whether the node is in service.
     pub fn is_ready(&self) -> bool {
         self.state.service.is_ready()
     }
 
-    /// A configuration was read again, and applied or rejected.
+    /// Counts a reload of the configuration, which was either applied or rejected.
     pub fn on_config_reload(&mut self, applied: bool) {
         if applied {
             self.applied_reloads += 1;
@@ -79,7 +82,7 @@
         }
     }
 
-    /// What operators read.
+    /// Returns the counters and gauges that operators read.
     pub fn metrics(&self, now: Time) -> Metrics<'_> {
         let state = &self.state;
         let pool = state
@@ -89,7 +92,7 @@
         Metrics {
             responses: state.counters.all(),
             attempts: state.written_attempts,
-            active: state.calls.unanswered_count() + state.upstreams.streaming_count(),
+            active: state.calls.unfinished_count() + state.upstreams.streaming_count(),
             pool_size: pool.count(),
             pool_ejected: self.balancer.outlier_count(now),
             config_applied: self.applied_reloads,
--- a/crates/node/src/reducer/timers.rs
+++ b/crates/node/src/reducer/timers.rs
@@ -1,31 +1,32 @@
-//! Timers: what the reducer does at which time.
+//! The timers of the reducer, ordered by time.
 use std::collections::BTreeSet;
 
 use quartzhub_policy::{CallIndex, Time};
 
 use crate::messages::UpstreamId;
 
-/// What is to be done. Timers of the same time expire in the order of the variants, then of the indices.
+/// What a timer triggers. Timers of the same time expire in the order of these variants, then of
+/// their ids.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The policy's own timer.
+    /// The policy's own periodic work.
     PolicyTick,
-    /// The present use of this upstream has lasted too long.
+    /// The current use of this upstream has reached its deadline.
     Upstream(UpstreamId),
-    /// This API call should have had its final response.
+    /// This API call is overdue for its final response.
     Call(CallIndex),
-    /// The service state treats idle clients in another way from now on.
+    /// The service state changes how idle clients are treated.
     IdleClients,
 }
 
-/// A timer and its time.
+/// A timer and the time at which it expires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct TimerEntry {
     pub(super) at: Time,
     pub(super) timer: Timer,
 }
 
-/// All timers, by time.
+/// All timers, ordered by time.
 #[derive(Default)]
 pub(super) struct Timers {
     entries: BTreeSet<TimerEntry>,
@@ -40,12 +41,12 @@
         self.entries.remove(&TimerEntry { at, timer });
     }
 
-    /// When the next one expires.
+    /// Returns when the next timer expires.
     pub(super) fn next_expiry(&self) -> Option<Time> {
         self.entries.first().map(|entry| entry.at)
     }
 
-    /// Takes out the next one that has expired by `now`.
+    /// Removes and returns the next timer that has expired by `now`.
     pub(super) fn pop_expired(&mut self, now: Time) -> Option<TimerEntry> {
         let next = self.entries.first()?;
         if next.at > now {
--- a/crates/node/src/reducer/upstream_events.rs
+++ b/crates/node/src/reducer/upstream_events.rs
@@ -1,4 +1,4 @@
-//! What upstreams report: that they are up, written, answered, streaming a value, or broken.
+//! Events of upstreams: connected, written, response received, streaming a value, broken.
 use quartzhub_policy::{Outcome, Time};
 
 use super::upstreams::{StreamTarget, Upstream, UpstreamUse};
@@ -7,7 +7,8 @@
 use crate::messages::{Response, UpstreamId};
 
 impl Reducer {
-    /// An upstream is up: the attempt that waited for it is written, if it is still wanted.
+    /// Handles an upstream that has connected: the attempt that it was opened for is written, if
+    /// it may still be made.
     pub fn on_connected(&mut self, now: Time, id: UpstreamId) {
         self.advance_clock(now);
         if let Some(&Upstream {
@@ -20,7 +21,7 @@
         self.report_finished_attempts();
     }
 
-    /// The last byte of the attempt that an upstream carries is written.
+    /// Handles the write of the last byte of the attempt in flight on an upstream.
     pub fn on_written(&mut self, id: UpstreamId) {
         let state = &mut self.state;
         let Some(upstream) = state.upstreams.get_mut(id) else {
@@ -39,7 +40,8 @@
             *request_written = true;
             state.written_attempts += 1;
         }
-        // The write had a deadline of its own, as has a response that has started.
+        // Until now the upstream had the deadline of the write. The attempt's deadline replaces it,
+        // unless the response has started: its next bytes have a deadline of their own.
         if *response_started {
             return;
         }
@@ -53,7 +55,7 @@
         }
     }
 
-    /// The client whose attempt an upstream carries has left before the attempt was written whole.
+    /// Handles an attempt that was not written in full because its client has disconnected.
     pub fn on_write_skipped(&mut self, now: Time, id: UpstreamId) {
         let upstream = self.state.upstreams.get(id);
         let Some(attempt) = upstream.and_then(Upstream::attempt_in_flight) else {
@@ -64,7 +66,7 @@
         }
     }
 
-    /// An upstream never came up, or broke, or ended.
+    /// Handles an upstream that failed to connect, broke, or was closed by the server.
     pub fn on_connection_broken(&mut self, now: Time, id: UpstreamId) {
         self.advance_clock(now);
         let state = &mut self.state;
@@ -86,15 +88,16 @@
                 new_connection: true,
                 ..
             } => state.finish_attempt(attempt, Outcome::Unreachable),
-            // Guards against blaming a server for an idle upstream that it had just closed: the last byte was
-            // not written, so the attempt has not been made yet, and a new upstream carries it.
+            // The server may have closed the upstream while it was idle, which is no fault. As the
+            // last byte is not written, the attempt has not been made: a new upstream carries it.
             UpstreamUse::InFlight { attempt, .. } => state.open_upstream(attempt),
             UpstreamUse::Streaming(target) => state.on_streaming_failed(id, target),
         }
         self.report_finished_attempts();
     }
 
-    /// An upstream could not be opened for want of something on this machine. Guards against blaming a server.
+    /// Handles a connect that failed because this machine lacks a resource, such as descriptors or
+    /// ports. The server is not blamed.
     pub fn on_connect_failed(&mut self, now: Time, id: UpstreamId) {
         self.advance_clock(now);
         if let Some(Upstream {
@@ -107,7 +110,7 @@
         self.report_finished_attempts();
     }
 
-    /// A server has answered the attempt that an upstream carried.
+    /// Handles a server's response to the attempt in flight on an upstream.
     pub fn on_response(&mut self, now: Time, id: UpstreamId, response: AttemptResponse) {
         self.advance_clock(now);
         let state = &mut self.state;
@@ -115,7 +118,8 @@
             return;
         };
         let Some(attempt) = upstream.attempt_in_flight() else {
-            // Nothing was asked: whatever this is, the upstream can't be trusted.
+            // No attempt is in flight. After an unsolicited response the upstream can't be
+            // trusted.
             state.close_upstream(id);
             return self.report_finished_attempts();
         };
@@ -131,7 +135,8 @@
         self.report_finished_attempts();
     }
 
-    /// Whether no API call is open behind the one whose response comes by this upstream, on its client's connection.
+    /// Returns whether, on the client's connection, no API call is pending after the one whose
+    /// response is received on this upstream.
     pub fn is_only_open_call(&self, id: UpstreamId) -> bool {
         let upstream = self.state.upstreams.get(id);
         let Some(attempt) = upstream.and_then(Upstream::attempt_in_flight) else {
@@ -141,14 +146,15 @@
             return true;
         };
         match self.state.clients.get(call.client) {
-            Some(client) => client.has_no_call_behind(call.slot),
+            Some(client) => client.has_no_later_call(call.slot),
             None => true,
         }
     }
 
-    /// A value too large to be buffered has begun to come. From here on the response is settled: there is no other
-    /// attempt and no other response. The policy is told of the success now, as its latency is that of the first bytes,
-    /// and a client that takes the rest slowly says nothing of the server.
+    /// Handles the first bytes of a value that is too large to be buffered. From here on the
+    /// response is final: no attempt and no other response can follow. The policy gets the success
+    /// now: its latency is that of the first bytes, as a client that reads the rest slowly says
+    /// nothing about the server.
     pub fn on_streaming_started(&mut self, now: Time, id: UpstreamId, size: usize) {
         self.advance_clock(now);
         let state = &mut self.state;
@@ -160,7 +166,7 @@
         };
         let request_written = upstream.is_request_written();
         let call = state.calls.get(attempt.call);
-        let Some(call) = call.filter(|call| !call.answered && request_written) else {
+        let Some(call) = call.filter(|call| !call.finished && request_written) else {
             state.close_upstream(id);
             state.finish_attempt(attempt, Outcome::ServerError);
             return self.report_finished_attempts();
@@ -179,7 +185,7 @@
         self.report_finished_attempts();
     }
 
-    /// The client has taken the whole value that this upstream streamed.
+    /// Handles the end of streaming: the client has received the whole value from this upstream.
     pub fn on_streaming_finished(&mut self, now: Time, id: UpstreamId, reusable: bool) {
         self.advance_clock(now);
         let state = &mut self.state;
@@ -208,8 +214,9 @@
         self.report_finished_attempts();
     }
 
-    /// More of a response has come, but not all. Guards against one that is said to be longer than it is: the rest
-    /// never comes, and the attempt would stay in flight until its call's deadline.
+    /// Handles further bytes of a response that is not complete yet, and sets a deadline for the
+    /// next ones. Without it, an attempt whose response is shorter than its stated length would
+    /// stay in flight until the deadline of its call.
     pub fn on_partial_response(&mut self, now: Time, id: UpstreamId) {
         self.advance_clock(now);
         let state = &mut self.state;
@@ -234,13 +241,14 @@
         state.set_upstream_deadline(id, deadline);
     }
 
-    /// What a server sent can't be read. The attempt may have run, and the upstream is of no further use.
+    /// Handles malformed bytes from a server. The attempt may have been executed, and the upstream
+    /// is closed.
     pub fn on_malformed_bytes(&mut self, now: Time, id: UpstreamId) {
-        let answer = AttemptResponse {
+        let response = AttemptResponse {
             outcome: Outcome::ServerError,
             value: None,
             reusable: false,
         };
-        self.on_response(now, id, answer);
+        self.on_response(now, id, response);
     }
 }
--- a/crates/node/src/reducer/upstreams.rs
+++ b/crates/node/src/reducer/upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams: connections to servers, and what each is used for.
+//! Upstreams (connections to servers), and the current use of each.
 use quartzhub_policy::{ServerIndex, Time};
 use rustc_hash::FxHashMap;
 
@@ -7,7 +7,7 @@
 use crate::messages::{ClientId, UpstreamId};
 use crate::metrics::CounterIndex;
 
-/// The client that a value is streamed to.
+/// The client to which a value is streamed.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) struct StreamTarget {
     pub(super) client: ClientId,
@@ -15,26 +15,27 @@
     pub(super) counter: Option<CounterIndex>,
 }
 
-/// What an upstream is used for.
+/// The current use of an upstream.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum UpstreamUse {
-    /// It is being opened for an attempt.
+    /// It is connecting, and will carry this attempt.
     Connecting { attempt: AttemptId },
-    /// It carries an attempt.
+    /// An attempt is in flight on it.
     InFlight {
         attempt: AttemptId,
         /// The last byte of the request is written.
         request_written: bool,
         /// The attempt is the first on this connection.
         new_connection: bool,
-        /// The first bytes of the response have come.
+        /// The first bytes of the response have been received.
         response_started: bool,
     },
-    /// Its value goes to a client as it comes; nothing of the API call is left to decide.
+    /// The value of a response is forwarded to a client as it is received. The response is final:
+    /// the API call gets no other.
     Streaming(StreamTarget),
-    /// It waits for the next attempt.
+    /// It is available for the next attempt.
     Idle,
-    /// It has done what it was for.
+    /// It has streamed its value, and is about to become idle or be closed.
     Closing,
 }
 
@@ -42,12 +43,12 @@
 pub(super) struct Upstream {
     pub(super) server: ServerIndex,
     pub(super) current_use: UpstreamUse,
-    /// When the present use ends by itself.
+    /// When the current use times out.
     pub(super) deadline: Time,
 }
 
 impl Upstream {
-    /// The attempt that it carries, if the connection is up.
+    /// Returns the attempt in flight on this upstream.
     pub(super) fn attempt_in_flight(&self) -> Option<AttemptId> {
         match self.current_use {
             UpstreamUse::InFlight { attempt, .. } => Some(attempt),
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Whether the last byte of the attempt that it carries is written.
+    /// Returns whether the last byte of the attempt in flight is written.
     pub(super) fn is_request_written(&self) -> bool {
         matches!(
             self.current_use,
@@ -71,6 +72,7 @@
 #[derive(Default)]
 pub(super) struct Upstreams {
     records: FxHashMap<UpstreamId, Upstream>,
+    /// Number of upstreams that are streaming a value.
     streaming: usize,
 }
 
@@ -79,7 +81,7 @@
         self.records.len()
     }
 
-    /// How many stream a value to a client.
+    /// Returns the number of upstreams that are streaming a value to a client.
     pub(super) fn streaming_count(&self) -> usize {
         self.streaming
     }
