--- a/crates/node/tests/reducer/clients.rs
+++ b/crates/node/tests/reducer/clients.rs
@@ -4,12 +4,12 @@
 #[test]
 fn during_shutdown_clients_are_closed_between_responses() {
     let mut harness = Harness::builder().start();
-    let idle = harness.client();
-    let busy = harness.client();
+    let idle = harness.add_client();
+    let busy = harness.add_client();
     harness.call(busy, "view", "c1", 400);
     harness.connect(3);
-    harness.report("stop", |reducer, now| reducer.on_shutdown(now));
-    let late = harness.client();
+    harness.report("shutdown", |reducer, now| reducer.on_shutdown(now));
+    let late = harness.add_client();
     harness.report("ping", |reducer, now| {
         reducer.respond_plain(now, late, b"+PONG\r\n".to_vec())
     });
@@ -18,9 +18,9 @@
     expect![[r#"
         0 call c1
         0   connect 3 to 1
-        0 up 3
-        0   write 3: c1, wait 397
-        0 stop
+        0 connected 3
+        0   write 3: c1, time_left 397
+        0 shutdown
         0   close client 1 after 100 ms of silence
         0 ping
         0   answer 4: plain
@@ -33,35 +33,35 @@
 }
 
 #[test]
-fn a_silent_client_makes_room_before_one_that_has_asked() {
+fn client_without_calls_is_evicted_before_one_with_calls() {
     let (mut harness, _) = Harness::builder()
         .limits(r#"{"sockets":34}"#)
-        .with_served_call("view", 400, "hit");
+        .with_successful_call("view", 400, "hit");
     harness.advance(300);
-    let silent: Vec<_> = (0..7).map(|_| harness.client()).collect();
+    let new_clients: Vec<_> = (0..7).map(|_| harness.add_client()).collect();
     harness.advance(50);
-    harness.report("one more", |reducer, now| {
+    harness.report("another client", |reducer, now| {
         assert_eq!(reducer.free_capacity(now), AcceptCapacity::Soon)
     });
-    assert_eq!(silent[0], ClientId(3));
+    assert_eq!(new_clients[0], ClientId(3));
     expect![[r#"
         0 call c1
         0   connect 2 to 1
-        0 up 2
-        0   write 2: c1, wait 397
+        0 connected 2
+        0   write 2: c1, time_left 397
         0 hit
         0   answer 1: v
-        350 one more
+        350 another client
         350   close client 3
     "#]]
     .assert_eq(&harness.trace);
 }
 
 #[test]
-fn of_clients_that_ask_once_and_stay_the_idlest_are_let_go() {
+fn longest_idle_clients_beyond_the_limit_are_closed() {
     let mut harness = Harness::builder().limits(r#"{"sockets":40}"#).start();
     for id in 0..13 {
-        let client = harness.client();
+        let client = harness.add_client();
         harness.call(client, "view", &format!("c{id}"), 400);
         if id == 0 {
             harness.connect(2);
@@ -84,27 +84,27 @@
 }
 
 #[test]
-fn a_drained_node_closes_clients_between_responses_once_the_front_knows() {
+fn drained_node_closes_clients_after_the_leave_notice() {
     let mut harness = Harness::builder().start();
     harness.reducer.on_listening();
-    let idle = harness.client();
-    let busy = harness.client();
+    let idle = harness.add_client();
+    let busy = harness.add_client();
     harness.call(busy, "view", "c1", 450);
     harness.connect(3);
     harness.report("out of service", |reducer, now| reducer.leave_service(now));
-    harness.report("and again", |reducer, now| reducer.leave_service(now));
-    let front = harness.client();
+    harness.report("repeated", |reducer, now| reducer.leave_service(now));
+    let front = harness.add_client();
     harness.report("ping", |reducer, now| {
         reducer.respond_ping(now, front, b"+PONG\r\n".to_vec())
     });
     harness.advance(360);
-    let late = harness.client();
+    let late = harness.add_client();
     harness.call(late, "view", "c2", 450);
     harness.respond("value", 3, value("v"));
     harness.advance(1200);
     harness.trace += &format!("ready: {}\n", harness.reducer.is_ready());
     for client in [idle, front] {
-        harness.report("gone", |reducer, now| {
+        harness.report("disconnected", |reducer, now| {
             reducer.on_client_disconnected(now, client)
         });
     }
@@ -116,10 +116,10 @@
     expect![[r#"
         0 call c1
         0   connect 3 to 1
-        0 up 3
-        0   write 3: c1, wait 447
+        0 connected 3
+        0   write 3: c1, time_left 447
         0 out of service
-        0 and again
+        0 repeated
         0 ping
         0   answer 4: plain
         60   connect 5 to 9
@@ -144,8 +144,8 @@
         1500   close client 4
         1500   close client 2
         ready: false
-        1560 gone
-        1560 gone
+        1560 disconnected
+        1560 disconnected
         1560 in service
         1560 ping
         1560   answer 2: plain
@@ -156,38 +156,39 @@
 }
 
 #[test]
-fn a_client_that_a_value_is_streamed_to_is_not_evicted() {
+fn client_receiving_a_streamed_value_is_not_evicted() {
     let (mut harness, reader) = Harness::builder()
         .limits(r#"{"sockets":32}"#)
         .with_call("view", 400);
-    harness.report("up", |reducer, now| {
+    harness.report("connected", |reducer, now| {
         reducer.on_connected(now, UpstreamId(2))
     });
-    harness.report("a large value begins", |reducer, now| {
+    harness.report("streaming starts", |reducer, now| {
         reducer.on_streaming_started(now, UpstreamId(2), 100_000)
     });
     harness.trace += &format!("active: {}\n", harness.reducer.metrics(Time(0)).active);
     harness.advance(2500);
-    // Others connect until no socket is free: the one that the value is streamed to is not closed for them.
-    let others: Vec<_> = (0..8).map(|_| harness.client()).collect();
-    let now = harness.at();
-    let mut rooms = Vec::new();
+    // Others connect until no socket is free. The client that receives the value is not closed to
+    // free one.
+    let others: Vec<_> = (0..8).map(|_| harness.add_client()).collect();
+    let now = harness.time();
+    let mut capacities = Vec::new();
     for _ in 0..3 {
-        rooms.push(harness.reducer.free_capacity(now));
-        harness.note("one more");
+        capacities.push(harness.reducer.free_capacity(now));
+        harness.note("another client");
     }
-    harness.trace += &format!("{rooms:?}\n");
+    harness.trace += &format!("{capacities:?}\n");
     others
         .into_iter()
         .for_each(|id| harness.reducer.on_client_disconnected(now, id));
-    harness.report("whole", |reducer, now| {
+    harness.report("streaming finished", |reducer, now| {
         reducer.on_streaming_finished(now, UpstreamId(2), true)
     });
     harness.call(reader, "view", "c2", 400);
-    harness.report("a large value begins", |reducer, now| {
+    harness.report("streaming starts", |reducer, now| {
         reducer.on_streaming_started(now, UpstreamId(2), 100_000)
     });
-    harness.disconnect("broke", 2);
+    harness.disconnect("broken", 2);
     let metrics = harness.reducer.metrics(Time(0));
     harness.trace += &format!(
         "active {}, {:?}\n",
@@ -196,33 +197,34 @@
     expect![[r#"
         0 call c1
         0   connect 2 to 1
-        0 up
-        0   write 2: c1, wait 397
-        0 a large value begins
+        0 connected
+        0   write 2: c1, time_left 397
+        0 streaming starts
         0   answer 1: Streamed { upstream: UpstreamId(2), size: 100000 }
         active: 1
-        2500 one more
-        2500 one more
-        2500 one more
+        2500 another client
+        2500 another client
+        2500 another client
         [None, None, None]
-        2500 whole
+        2500 streaming finished
         2500 call c2
-        2500   write 2: c2, wait 397
-        2500 a large value begins
+        2500   write 2: c2, time_left 397
+        2500 streaming starts
         2500   answer 1: Streamed { upstream: UpstreamId(2), size: 100000 }
-        2500 broke
-        2500   cut client 1
+        2500 broken
+        2500   abort client 1
         active 0, ResponseCounts { fulfilled: 1, rate_limited: 0, errored: 1 }
     "#]]
     .assert_eq(&harness.trace);
 }
 
-/// A planned restart may leave less than a client timeout: open calls are answered by then, new ones are given no longer,
-/// and each gets one response.
+/// A planned restart may leave less time than a client timeout, and a call that is still open when
+/// the process exits gets no response. Open and new calls must each get one response by the
+/// response deadline.
 #[test]
-fn during_shutdown_open_calls_are_answered_in_the_time_that_the_process_has() {
+fn shutdown_deadline_bounds_open_and_new_calls() {
     let (mut harness, client) = Harness::builder().with_call_in_flight("book", 500);
-    harness.report("asked to end", |reducer, now| {
+    harness.report("response deadline set", |reducer, now| {
         reducer.set_response_deadline(now + Span::ms(100))
     });
     harness.advance(40);
@@ -233,13 +235,13 @@
     expect![[r#"
         0 call c1
         0   connect 2 to 1
-        0 up 2
-        0   write 2: c1, wait 497
-        0 asked to end
+        0 connected 2
+        0   write 2: c1, time_left 497
+        0 response deadline set
         40 call c2
         40   connect 3 to 1
-        40 up 3
-        40   write 3: c2, wait 60
+        40 connected 3
+        40   write 3: c2, time_left 60
         100   close upstream 3
         110   answer 1: Error("no answer in time")
         110   answer 1: Error("failed")
--- a/crates/node/tests/reducer/common.rs
+++ b/crates/node/tests/reducer/common.rs
@@ -26,7 +26,8 @@
     pub trace: String,
 }
 
-/// How a harness starts: with a cache `a` and an origin `o`, and with an API call if the test begins with one.
+/// The configuration of a harness, which starts with a cache `a` and an origin `o`, and with an API
+/// call if the test begins with one.
 pub struct HarnessBuilder {
     limits: String,
     settings: String,
@@ -34,7 +35,7 @@
 }
 
 impl HarnessBuilder {
-    /// Limits of the configuration, as JSON.
+    /// Sets the limits of the configuration, as JSON.
     pub fn limits(mut self, limits: &str) -> HarnessBuilder {
         self.limits = limits.to_owned();
         self
@@ -45,7 +46,7 @@
         self
     }
 
-    /// How long an upstream is idle before it is used again.
+    /// Sets how long an upstream must be idle before it is reused.
     pub fn reuse_delay(mut self, reuse_delay: Span) -> HarnessBuilder {
         self.reuse_delay = reuse_delay;
         self
@@ -58,7 +59,7 @@
         let text = format!(
             r#"{{"listen":"127.0.0.1:1","seed":"5","limits":{limits},"settings":{settings}}}"#
         );
-        let mut config = Config::parse(&text, Environment::default()).expect("a configuration");
+        let mut config = Config::parse(&text, Environment::default()).expect("valid configuration");
         config.limits.upstream_reuse_delay = self.reuse_delay;
         let mut harness = Harness {
             reducer: Reducer::new(&config),
@@ -71,31 +72,38 @@
         harness
     }
 
-    /// Starts with a client, 1, and its API call `c1`.
-    pub fn with_call(self, product: &str, wait: i64) -> (Harness, ClientId) {
+    /// Starts with client 1 and its API call `c1`.
+    pub fn with_call(self, product: &str, time_left: i64) -> (Harness, ClientId) {
         let mut harness = self.start();
-        let client = harness.client();
-        harness.call(client, product, "c1", wait);
+        let client = harness.add_client();
+        harness.call(client, product, "c1", time_left);
         (harness, client)
     }
 
-    /// The same, with the call written on upstream 2.
-    pub fn with_call_in_flight(self, product: &str, wait: i64) -> (Harness, ClientId) {
-        let (mut harness, client) = self.with_call(product, wait);
+    /// Starts as `with_call`, with the call written on upstream 2.
+    pub fn with_call_in_flight(self, product: &str, time_left: i64) -> (Harness, ClientId) {
+        let (mut harness, client) = self.with_call(product, time_left);
         harness.connect(2);
         (harness, client)
     }
 
-    /// The same, with the call answered by the value `v`; the trace says `what` then.
-    pub fn with_served_call(self, product: &str, wait: i64, what: &str) -> (Harness, ClientId) {
-        let (mut harness, client) = self.with_call_in_flight(product, wait);
-        harness.respond(what, 2, value("v"));
+    /// Starts as `with_call_in_flight`, with `v` as the response to the call; `label` is printed
+    /// for the response.
+    pub fn with_successful_call(
+        self,
+        product: &str,
+        time_left: i64,
+        label: &str,
+    ) -> (Harness, ClientId) {
+        let (mut harness, client) = self.with_call_in_flight(product, time_left);
+        harness.respond(label, 2, value("v"));
         (harness, client)
     }
 }
 
 impl Harness {
-    /// Upstreams are used again at once, but for the tests that are about it, so that traces stay short.
+    /// Returns a configuration in which upstreams are reused without a delay, so that traces stay
+    /// short; tests of the reuse delay set one.
     pub fn builder() -> HarnessBuilder {
         HarnessBuilder {
             limits: "{}".to_owned(),
@@ -104,26 +112,26 @@
         }
     }
 
-    pub fn at(&mut self) -> Time {
+    pub fn time(&mut self) -> Time {
         Time(self.now * 1000)
     }
 
-    /// Lets time pass in steps of the policy's timer, as sockets would.
+    /// Advances the clock and runs expired timers, in steps of the policy's timer.
     pub fn advance(&mut self, ms: i64) {
         let end = self.now + ms;
         while self.now < end {
             self.now = (self.now + 5).min(end);
-            let now = self.at();
+            let now = self.time();
             self.reducer.on_timer(now);
-            self.effects(false);
+            self.print_effects(false);
         }
     }
 
-    /// Lets so much time pass that the policy releases the servers that are gone.
+    /// Advances the clock until the policy has released the servers that are gone.
     pub fn release_gone_servers(&mut self) {
         for _ in 0..3 {
             self.now += 31_000;
-            let now = self.at();
+            let now = self.time();
             self.reducer.on_timer(now);
         }
     }
@@ -135,39 +143,45 @@
                 r#"{{"id":"{id}","addr":"127.0.0.1:{port}","kind":"{kind}","state":"{state}"}}"#
             )
         };
-        self.update_list_by_entries(full, servers.iter().map(entry).collect());
+        self.update_list_from_entries(full, servers.iter().map(entry).collect());
     }
 
-    /// Names servers, and no address of theirs.
+    /// Applies a partial list that names servers without their addresses.
     pub fn update_list_without_addresses(&mut self, servers: &[(&str, &str)]) {
         let entry = |(id, state): &(&str, &str)| format!(r#"{{"id":"{id}","state":"{state}"}}"#);
-        self.update_list_by_entries(false, servers.iter().map(entry).collect());
+        self.update_list_from_entries(false, servers.iter().map(entry).collect());
     }
 
-    pub fn update_list_by_entries(&mut self, full: bool, entries: Vec<String>) {
+    pub fn update_list_from_entries(&mut self, full: bool, entries: Vec<String>) {
         let text = format!(
             r#"{{"version":1,"full":{full},"servers":[{}]}}"#,
             entries.join(",")
         );
-        let news: EndpointListUpdate = serde_json::from_str(&text).expect("a list");
-        let now = self.at();
-        self.reducer.on_endpoint_list(now, &news, |_| None);
-        self.effects(true);
+        let update: EndpointListUpdate = serde_json::from_str(&text).expect("valid endpoint list");
+        let now = self.time();
+        self.reducer.on_endpoint_list(now, &update, |_| None);
+        self.print_effects(true);
     }
 
-    pub fn client(&mut self) -> ClientId {
-        let now = self.at();
+    pub fn add_client(&mut self) -> ClientId {
+        let now = self.time();
         self.reducer.on_client_connected(now)
     }
 
     /// Makes an API call without printing anything.
-    pub fn send(&mut self, client: ClientId, product: &str, id: &str, wait: i64) {
-        self.make_call(client, product, id, wait, None);
+    pub fn send(&mut self, client: ClientId, product: &str, id: &str, time_left: i64) {
+        self.make_call(client, product, id, time_left, None);
     }
 
-    /// Makes a write with the mark by which servers know a repeat.
-    pub fn write(&mut self, client: ClientId, id: &str, wait: i64) {
-        self.make_call(client, "put", id, wait, Some(Bytes::from_static(b"new")));
+    /// Makes a write with an idempotency key, by which servers recognize a retry, and prints it.
+    pub fn write(&mut self, client: ClientId, id: &str, time_left: i64) {
+        self.make_call(
+            client,
+            "put",
+            id,
+            time_left,
+            Some(Bytes::from_static(b"new")),
+        );
         self.note(&format!("put {id}"));
     }
 
@@ -176,69 +190,69 @@
         client: ClientId,
         product: &str,
         id: &str,
-        wait: i64,
+        time_left: i64,
         value: Option<Bytes>,
     ) {
-        let mark = value.is_some();
+        let with_idempotency_key = value.is_some();
         let request = Request {
             key: "k".into(),
             id: id.into(),
             attributes: format!("c={product}"),
             value,
         };
-        let facts = RequestAttributes {
+        let attributes = RequestAttributes {
             product: Some(product),
-            time_left: Span::ms(wait),
-            has_idempotency_key: mark,
+            time_left: Span::ms(time_left),
+            has_idempotency_key: with_idempotency_key,
             ..RequestAttributes::default()
         };
-        let now = self.at();
-        self.reducer.on_call(now, client, request, facts);
+        let now = self.time();
+        self.reducer.on_call(now, client, request, attributes);
     }
 
     /// Makes an API call, and prints it.
-    pub fn call(&mut self, client: ClientId, product: &str, id: &str, wait: i64) {
-        self.send(client, product, id, wait);
+    pub fn call(&mut self, client: ClientId, product: &str, id: &str, time_left: i64) {
+        self.send(client, product, id, time_left);
         self.note(&format!("call {id}"));
     }
 
-    /// The upstream of this number is up.
+    /// Reports that the upstream with this id has connected.
     pub fn connect(&mut self, upstream: u64) {
-        self.report(&format!("up {upstream}"), |reducer, now| {
+        self.report(&format!("connected {upstream}"), |reducer, now| {
             reducer.on_connected(now, UpstreamId(upstream))
         });
     }
 
-    /// The upstream of this number has answered.
-    pub fn respond(&mut self, what: &str, upstream: u64, response: AttemptResponse) {
-        self.report(what, |reducer, now| {
+    /// Reports a response on the upstream with this id.
+    pub fn respond(&mut self, label: &str, upstream: u64, response: AttemptResponse) {
+        self.report(label, |reducer, now| {
             reducer.on_response(now, UpstreamId(upstream), response)
         });
     }
 
-    /// The upstream of this number has broken.
-    pub fn disconnect(&mut self, what: &str, upstream: u64) {
-        self.report(what, |reducer, now| {
+    /// Reports that the upstream with this id has broken.
+    pub fn disconnect(&mut self, label: &str, upstream: u64) {
+        self.report(label, |reducer, now| {
             reducer.on_connection_broken(now, UpstreamId(upstream))
         });
     }
 
-    /// Makes a report to the reducer, and prints what it is.
-    pub fn report(&mut self, what: &str, report: impl FnOnce(&mut Reducer, Time)) {
-        let now = self.at();
-        report(&mut self.reducer, now);
-        self.note(what);
+    /// Reports an event to the reducer, and prints its label.
+    pub fn report(&mut self, label: &str, event: impl FnOnce(&mut Reducer, Time)) {
+        let now = self.time();
+        event(&mut self.reducer, now);
+        self.note(label);
     }
 
-    pub fn note(&mut self, what: &str) {
-        self.trace += &format!("{} {what}\n", self.now);
-        self.effects(true);
+    pub fn note(&mut self, label: &str) {
+        self.trace += &format!("{} {label}\n", self.now);
+        self.print_effects(true);
     }
 
-    /// Prints the effects; `written`: each write is done at once.
-    pub fn effects(&mut self, written: bool) {
+    /// Prints the queued effects. With `complete_writes`, each write is reported as complete.
+    pub fn print_effects(&mut self, complete_writes: bool) {
         while let Some(effect) = self.reducer.next_effect() {
-            if let (Effect::Write { upstream, .. }, true) = (&effect, written) {
+            if let (Effect::Write { upstream, .. }, true) = (&effect, complete_writes) {
                 self.reducer.on_written(*upstream);
             }
             self.trace += &format!("{}   {}\n", self.now, describe(effect));
@@ -246,7 +260,7 @@
     }
 }
 
-/// An answer with a value.
+/// Returns a successful response with a value.
 pub fn value(text: &str) -> AttemptResponse {
     AttemptResponse {
         outcome: Outcome::Success,
@@ -255,7 +269,7 @@
     }
 }
 
-/// An answer without a value.
+/// Returns a response without a value, and with this outcome.
 pub fn failure(outcome: Outcome) -> AttemptResponse {
     AttemptResponse {
         outcome,
--- a/crates/node/tests/reducer/endpoint_list_properties.rs
+++ b/crates/node/tests/reducer/endpoint_list_properties.rs
@@ -1,4 +1,5 @@
-//! Endpoint lists of every form, and calls among them. Guards against tables that disagree on which servers there are.
+//! Property test with random endpoint lists and calls in between. It fails if the tables of the
+//! node disagree on which servers exist.
 use proptest::collection::vec;
 use proptest::option;
 use proptest::prelude::*;
@@ -27,10 +28,11 @@
     },
     Drain(Vec<&'static str>),
     Call(&'static str),
-    /// What becomes of the upstream opened last but so many. One that is not connected yet connects, unless it breaks.
+    /// An event of the open upstream at this position, counted from the newest. An upstream that is
+    /// not connected yet connects, unless it breaks.
     Upstream(usize, UpstreamEvent),
-    Wait(i64),
-    /// Servers that are gone are released.
+    Advance(i64),
+    /// Time passes until servers that are gone are released.
     Release,
 }
 
@@ -71,13 +73,13 @@
             .prop_map(|(complete, servers)| Step::List { complete, servers }),
         1 => vec(one_of(&IDS), 0..4).prop_map(Step::Drain),
         4 => one_of(&PRODUCTS).prop_map(Step::Call),
-        6 => (0usize..4, event).prop_map(|(back, event)| Step::Upstream(back, event)),
-        2 => (0i64..600).prop_map(Step::Wait),
+        6 => (0usize..4, event).prop_map(|(position, event)| Step::Upstream(position, event)),
+        2 => (0i64..600).prop_map(Step::Advance),
         1 => Just(Step::Release),
     ]
 }
 
-/// What the lists so far say of a server.
+/// What the lists so far have reported about a server.
 #[derive(Default)]
 struct ServerModel {
     ports: Vec<u16>,
@@ -88,7 +90,7 @@
     harness: Harness,
     client: ClientId,
     calls: usize,
-    answers: usize,
+    responses: usize,
     servers: BTreeMap<&'static str, ServerModel>,
     /// Upstreams that are not closed, the newest last.
     upstreams: Vec<OpenUpstream>,
@@ -97,12 +99,12 @@
 impl Run {
     fn start() -> Run {
         let mut harness = Harness::builder().start();
-        let client = harness.client();
+        let client = harness.add_client();
         let mut run = Run {
             harness,
             client,
             calls: 0,
-            answers: 0,
+            responses: 0,
             servers: BTreeMap::new(),
             upstreams: Vec::new(),
         };
@@ -112,11 +114,11 @@
             state: Some("in_service"),
             kind: None,
         };
-        run.note_list(true, &[("a", 1), ("o", 9)].map(listed));
+        run.record_list(true, &[("a", 1), ("o", 9)].map(listed));
         run
     }
 
-    fn note_list(&mut self, complete: bool, servers: &[ListedServer]) {
+    fn record_list(&mut self, complete: bool, servers: &[ListedServer]) {
         if complete {
             self.servers
                 .values_mut()
@@ -130,12 +132,12 @@
     }
 
     fn step(&mut self, step: &Step) {
-        let now = self.harness.at();
+        let now = self.harness.time();
         match step {
             Step::List { complete, servers } => {
-                self.note_list(*complete, servers);
+                self.record_list(*complete, servers);
                 let entries = servers.iter().map(ListedServer::entry).collect();
-                self.harness.update_list_by_entries(*complete, entries);
+                self.harness.update_list_from_entries(*complete, entries);
             }
             Step::Drain(ids) => {
                 let drained = ids.iter().map(|id| ServerId::named(id)).collect();
@@ -146,15 +148,15 @@
                 let id = format!("call-{}", self.calls);
                 self.harness.send(self.client, product, &id, 400);
             }
-            Step::Upstream(back, event) => self.report_upstream(now, *back, *event),
-            Step::Wait(ms) => self.harness.advance(*ms),
+            Step::Upstream(position, event) => self.report_upstream(now, *position, *event),
+            Step::Advance(ms) => self.harness.advance(*ms),
             Step::Release => self.harness.release_gone_servers(),
         }
         self.account_for_effects();
     }
 
-    fn report_upstream(&mut self, now: Time, back: usize, event: UpstreamEvent) {
-        let Some(upstream) = self.upstreams.iter_mut().rev().nth(back) else {
+    fn report_upstream(&mut self, now: Time, position: usize, event: UpstreamEvent) {
+        let Some(upstream) = self.upstreams.iter_mut().rev().nth(position) else {
             return;
         };
         let id = upstream.id;
@@ -172,21 +174,22 @@
         }
     }
 
-    /// Counts answers, and checks that each new upstream goes to a server that is in service at this address.
+    /// Counts the responses, and checks that each new upstream goes to the address of a server that
+    /// is in service.
     fn account_for_effects(&mut self) {
-        self.harness.effects(true);
+        self.harness.print_effects(true);
         for line in std::mem::take(&mut self.harness.trace).lines() {
             let words: Vec<_> = line
                 .split([' ', ':'])
                 .filter(|word| !word.is_empty())
                 .collect();
-            let number = |at: usize| words[at].parse::<u64>().expect("a number");
+            let number = |at: usize| words[at].parse::<u64>().expect("number in the trace");
             match words[1] {
                 "connect" => {
                     let port = number(4) as u16;
-                    let is_server =
+                    let is_in_service_at_port =
                         |server: &ServerModel| server.in_service && server.ports.contains(&port);
-                    assert!(self.servers.values().any(is_server), "{line}");
+                    assert!(self.servers.values().any(is_in_service_at_port), "{line}");
                     self.upstreams.push(OpenUpstream {
                         id: UpstreamId(number(2)),
                         is_connected: false,
@@ -195,7 +198,7 @@
                 "close" if words[2] == "upstream" => {
                     self.upstreams.retain(|upstream| upstream.id.0 != number(3));
                 }
-                "answer" => self.answers += 1,
+                "answer" => self.responses += 1,
                 _ => {}
             }
         }
@@ -220,7 +223,7 @@
 }
 
 proptest! {
-    // The same cases every time: a failure is repeatable.
+    // A fixed seed, so that a failure is reproducible.
     #![proptest_config(ProptestConfig {
         cases: 400,
         failure_persistence: None,
@@ -229,15 +232,15 @@
     })]
 
     #[test]
-    fn whatever_lists_name_each_call_gets_one_answer_and_goes_where_the_list_says(
+    fn any_lists_yield_one_response_per_call_from_listed_servers(
         steps in vec(step(), 1..60),
     ) {
         let mut run = Run::start();
         for step in &steps {
             run.step(step);
         }
-        run.step(&Step::Wait(2_000));
-        prop_assert_eq!(run.answers, run.calls);
+        run.step(&Step::Advance(2_000));
+        prop_assert_eq!(run.responses, run.calls);
         prop_assert_eq!(run.harness.reducer.open_call_count(), 0);
     }
 }
--- a/crates/node/tests/reducer/main.rs
+++ b/crates/node/tests/reducer/main.rs
@@ -1,4 +1,4 @@
-//! The reducer without sockets: what it asks for, as a short printed trace.
+//! Tests of the reducer without sockets: its effects are printed as a short trace and compared.
 mod calls;
 mod clients;
 mod common;
--- a/crates/node/tests/reducer/random.rs
+++ b/crates/node/tests/reducer/random.rs
@@ -1,13 +1,13 @@
-//! Reports in any order.
+//! Events reported to the reducer in random order.
 use super::common::*;
 
-/// A node whose clients, servers and discovery do anything.
+/// A node whose clients, servers and discovery behave at random.
 struct RandomRun {
     generator: Pcg,
     harness: Harness,
-    /// Clients that stay, and the responses owed to each.
-    owed: BTreeMap<ClientId, i64>,
-    /// Open upstreams, and whether each is up.
+    /// Connected clients, and the number of responses that each has yet to get.
+    pending: BTreeMap<ClientId, i64>,
+    /// Open upstreams, and whether each is connected.
     upstreams: BTreeMap<UpstreamId, bool>,
 }
 
@@ -18,67 +18,67 @@
             harness: Harness::builder()
                 .limits(r#"{"memory_mb":16,"sockets":60}"#)
                 .start(),
-            owed: BTreeMap::new(),
+            pending: BTreeMap::new(),
             upstreams: BTreeMap::new(),
         }
     }
 
-    fn below(&mut self, most: usize) -> usize {
-        (self.generator.unit() * most as f64) as usize
+    fn random_below(&mut self, bound: usize) -> usize {
+        (self.generator.unit() * bound as f64) as usize
     }
 
     fn any_upstream(&mut self) -> Option<UpstreamId> {
         if self.upstreams.is_empty() {
             return None;
         }
-        let number = self.below(self.upstreams.len());
-        self.upstreams.keys().nth(number).copied()
+        let index = self.random_below(self.upstreams.len());
+        self.upstreams.keys().nth(index).copied()
     }
 
     fn any_client(&mut self) -> Option<ClientId> {
-        if self.owed.is_empty() {
+        if self.pending.is_empty() {
             return None;
         }
-        let number = self.below(self.owed.len());
-        self.owed.keys().nth(number).copied()
+        let index = self.random_below(self.pending.len());
+        self.pending.keys().nth(index).copied()
     }
 
-    /// Reports one thing; `step` counts those before.
+    /// Reports one random event; `step` is the number of events before it.
     fn step(&mut self, step: usize) {
-        let now = self.harness.at();
+        let now = self.harness.time();
         let upstream = self.any_upstream();
         let client = self.any_client();
-        match (self.below(12), upstream, client) {
-            (0, _, _) if self.owed.len() < 8 => {
+        match (self.random_below(12), upstream, client) {
+            (0, _, _) if self.pending.len() < 8 => {
                 let client = self.harness.reducer.on_client_connected(now);
-                self.owed.insert(client, 0);
+                self.pending.insert(client, 0);
             }
-            (1, _, Some(client)) if self.below(6) == 0 => {
+            (1, _, Some(client)) if self.random_below(6) == 0 => {
                 self.harness.reducer.on_client_disconnected(now, client);
-                self.owed.remove(&client);
+                self.pending.remove(&client);
             }
             (1..=4, _, Some(client)) => {
-                *self.owed.get_mut(&client).expect("it stays") += 1;
-                let product = ["view", "book", "none"][self.below(3)];
-                let id = format!("{}", self.below(step + 5));
+                *self.pending.get_mut(&client).expect("client is connected") += 1;
+                let product = ["view", "book", "none"][self.random_below(3)];
+                let id = format!("{}", self.random_below(step + 5));
                 self.harness.send(client, product, &id, 300);
             }
             (5..=8, Some(upstream), _) => self.report_upstream(now, upstream),
             (9, _, _) => self.update_list(step),
             _ => {
-                let ms = 5 * self.below(12) as i64;
+                let ms = 5 * self.random_below(12) as i64;
                 self.harness.advance(ms);
             }
         }
-        let written = self.below(2) == 0;
-        self.account_for_effects(written);
+        let complete_writes = self.random_below(2) == 0;
+        self.account_for_effects(complete_writes);
     }
 
     fn report_upstream(&mut self, now: Time, upstream: UpstreamId) {
-        let is_up = self.upstreams[&upstream];
-        let event = self.below(6);
+        let is_connected = self.upstreams[&upstream];
+        let event = self.random_below(6);
         let reducer = &mut self.harness.reducer;
-        match (is_up, event) {
+        match (is_connected, event) {
             (_, 0) => {
                 self.upstreams.remove(&upstream);
                 reducer.on_connection_broken(now, upstream);
@@ -94,7 +94,7 @@
             (true, 1) => reducer.on_malformed_bytes(now, upstream),
             (true, 2) => reducer.on_partial_response(now, upstream),
             (true, 3) => {
-                let outcome = [Outcome::Miss, Outcome::Overloaded][self.below(2)];
+                let outcome = [Outcome::Miss, Outcome::Overloaded][self.random_below(2)];
                 let reducer = &mut self.harness.reducer;
                 reducer.on_response(now, upstream, failure(outcome));
             }
@@ -108,16 +108,16 @@
         let servers: Vec<_> = ids
             .iter()
             .map(|id| {
-                let port = 1 + self.below(3) as u16;
-                (id.as_str(), port, states[self.below(4)])
+                let port = 1 + self.random_below(3) as u16;
+                (id.as_str(), port, states[self.random_below(4)])
             })
             .collect();
         self.harness.update_list(false, &servers);
     }
 
-    /// Takes the printed effects into account: responses given, upstreams opened and closed.
-    fn account_for_effects(&mut self, written: bool) {
-        self.harness.effects(written);
+    /// Updates the model by the printed effects: responses sent, upstreams opened and closed.
+    fn account_for_effects(&mut self, complete_writes: bool) {
+        self.harness.print_effects(complete_writes);
         for line in std::mem::take(&mut self.harness.trace).lines() {
             let words: Vec<_> = line
                 .split([' ', ':'])
@@ -127,7 +127,7 @@
                 words
                     .get(at)
                     .and_then(|word| word.parse().ok())
-                    .expect("a number")
+                    .expect("numeric id")
             };
             let upstreams = &mut self.upstreams;
             match words[1] {
@@ -139,9 +139,9 @@
                     upstreams.remove(&UpstreamId(number(3)));
                 }
                 "answer" => {
-                    if let Some(owed) = self.owed.get_mut(&ClientId(number(2))) {
-                        *owed -= 1;
-                        assert!(*owed >= 0, "one answer too many");
+                    if let Some(pending) = self.pending.get_mut(&ClientId(number(2))) {
+                        *pending -= 1;
+                        assert!(*pending >= 0, "more responses than commands");
                     }
                 }
                 _ => {}
@@ -150,10 +150,10 @@
     }
 }
 
-/// Each command of a client that stays gets one response, nothing is written on an upstream that is not up, and once
-/// every client has gone nothing is left.
+/// Each command of a client that stays connected gets one response, nothing is written on an
+/// upstream that is not connected, and in the end no call and no upstream is left open.
 #[test]
-fn whatever_is_reported_each_call_gets_one_answer_and_nothing_is_left() {
+fn any_event_order_yields_one_response_and_leaves_no_state() {
     for seed in 0..150 {
         let mut run = RandomRun::new(seed);
         for step in 0..400 {
@@ -163,13 +163,13 @@
         run.account_for_effects(false);
         let RandomRun {
             harness,
-            owed,
+            pending,
             upstreams,
             ..
         } = run;
         assert!(
-            owed.values().all(|owed| *owed == 0),
-            "seed {seed}: {owed:?} answers owed"
+            pending.values().all(|pending| *pending == 0),
+            "seed {seed}: {pending:?} responses pending"
         );
         assert_eq!(harness.reducer.open_call_count(), 0, "seed {seed}");
         assert!(upstreams.is_empty(), "seed {seed}: {upstreams:?} open");
--- a/crates/node/tests/reducer/rejections.rs
+++ b/crates/node/tests/reducer/rejections.rs
@@ -1,27 +1,28 @@
-//! How long a node that could serve rejects every call that it gets.
+//! Limits on how long a node that could serve calls rejects all of them.
 use super::common::*;
 
-/// Milliseconds from one call to the next.
-const PACE: i64 = 50;
-/// The longest time in milliseconds in which a node may reject 15 calls or more with no attempt in between.
-const LONGEST: i64 = 4_000;
+/// Milliseconds between two calls.
+const CALL_INTERVAL_MS: i64 = 50;
+/// Longest time, in milliseconds, for which a node may reject at least 15 calls in a row without
+/// making an attempt.
+const MAX_REJECTION_MS: i64 = 4_000;
 
-/// What servers do with attempts.
+/// How servers react to attempts.
 #[derive(Clone, Copy)]
-enum Servers {
-    /// Connections are refused.
+enum ServerBehavior {
+    /// They refuse connections.
     Refuse,
-    /// Connections come up, and what is written breaks off.
+    /// They accept connections, and reset them when a request is written.
     Reset,
-    Full,
-    Answer,
+    Overload,
+    Respond,
 }
 
-/// What servers do where they fail, by name.
-const FAILURES: [(&str, Servers); 3] = [
-    ("refuse", Servers::Refuse),
-    ("reset", Servers::Reset),
-    ("full", Servers::Full),
+/// The ways in which servers fail, with their descriptions.
+const FAILURES: [(&str, ServerBehavior); 3] = [
+    ("refuse connections", ServerBehavior::Refuse),
+    ("reset connections", ServerBehavior::Reset),
+    ("are overloaded", ServerBehavior::Overload),
 ];
 
 fn two_caches() -> Harness {
@@ -30,9 +31,15 @@
     harness
 }
 
-/// Plays calls against servers for so long; gives the times of the attempts: connects begun and commands written.
-fn play(harness: &mut Harness, servers: Servers, ms: i64, calls: &mut usize) -> Vec<i64> {
-    let client = harness.client();
+/// Makes calls for `ms` milliseconds against servers that behave as given, and adds their number to
+/// `calls`. Returns the times of all attempts, which are connects started and requests written.
+fn run_calls(
+    harness: &mut Harness,
+    servers: ServerBehavior,
+    ms: i64,
+    calls: &mut usize,
+) -> Vec<i64> {
+    let client = harness.add_client();
     let end = harness.now + ms;
     let mut attempts = Vec::new();
     while harness.now < end {
@@ -42,45 +49,45 @@
         harness.call(client, product, &format!("c{calls}"), 400);
         while !harness.trace.is_empty() {
             for line in std::mem::take(&mut harness.trace).lines() {
-                if react(harness, servers, line) {
+                if apply_behavior(harness, servers, line) {
                     attempts.push(harness.now);
                 }
             }
-            harness.effects(true);
+            harness.print_effects(true);
         }
-        harness.advance(PACE);
+        harness.advance(CALL_INTERVAL_MS);
     }
-    let now = harness.at();
+    let now = harness.time();
     harness.reducer.on_client_disconnected(now, client);
     attempts
 }
 
-/// Reports what servers do about a printed effect. Returns whether the effect is an attempt: a connect begun or a
-/// command written.
-fn react(harness: &mut Harness, servers: Servers, line: &str) -> bool {
+/// Reports the servers' reaction to a printed effect. Returns whether the effect is an attempt: a
+/// connect started or a request written.
+fn apply_behavior(harness: &mut Harness, servers: ServerBehavior, line: &str) -> bool {
     let words: Vec<_> = line
         .split([' ', ':'])
         .filter(|word| !word.is_empty())
         .collect();
-    let upstream = || UpstreamId(words[2].parse().expect("an upstream"));
-    let now = harness.at();
+    let upstream = || UpstreamId(words[2].parse().expect("upstream id"));
+    let now = harness.time();
     let reducer = &mut harness.reducer;
     match (words[1], servers) {
-        ("connect", Servers::Refuse) => reducer.on_connection_broken(now, upstream()),
+        ("connect", ServerBehavior::Refuse) => reducer.on_connection_broken(now, upstream()),
         ("connect", _) => reducer.on_connected(now, upstream()),
-        ("write", Servers::Reset | Servers::Refuse) => {
+        ("write", ServerBehavior::Reset | ServerBehavior::Refuse) => {
             reducer.on_connection_broken(now, upstream());
         }
-        ("write", Servers::Full) => {
+        ("write", ServerBehavior::Overload) => {
             reducer.on_response(now, upstream(), failure(Outcome::Overloaded));
         }
-        ("write", Servers::Answer) => reducer.on_response(now, upstream(), value("v")),
+        ("write", ServerBehavior::Respond) => reducer.on_response(now, upstream(), value("v")),
         _ => return false,
     }
     true
 }
 
-/// The longest time between two attempts.
+/// Returns the longest time without an attempt between `from` and `to`, in milliseconds.
 fn longest_gap(from: i64, attempts: &[i64], to: i64) -> i64 {
     let times: Vec<_> = std::iter::once(from)
         .chain(attempts.iter().copied())
@@ -93,58 +100,69 @@
         .unwrap_or(0)
 }
 
-/// Reads that were served so far.
-fn served(harness: &Harness) -> u64 {
+/// Returns the number of reads served so far.
+fn served_reads(harness: &Harness) -> u64 {
     harness.reducer.metrics(Time(harness.now * 1000)).responses["view"].fulfilled
 }
 
 #[test]
-fn a_process_that_was_idle_for_long_forwards_its_first_calls() {
+fn first_calls_after_a_long_idle_period_are_forwarded() {
     for idle in [0, 1_000, 60_000, 600_000] {
         let mut harness = two_caches();
         harness.advance(idle);
         let from = harness.now;
         let mut calls = 0;
-        let attempts = play(&mut harness, Servers::Answer, 1_000, &mut calls);
+        let attempts = run_calls(&mut harness, ServerBehavior::Respond, 1_000, &mut calls);
         let gap = longest_gap(from, &attempts, harness.now);
         assert!(
-            gap <= PACE,
+            gap <= CALL_INTERVAL_MS,
             "{gap} ms with no attempt after {idle} ms without a call"
         );
     }
 }
 
 #[test]
-fn however_servers_fail_a_process_never_rejects_every_call_for_long() {
+fn node_never_rejects_all_calls_for_long_while_servers_fail() {
     for (name, servers) in FAILURES {
         let mut harness = two_caches();
         let mut calls = 0;
-        play(&mut harness, Servers::Answer, 2_000, &mut calls);
+        run_calls(&mut harness, ServerBehavior::Respond, 2_000, &mut calls);
         let from = harness.now;
-        let mut attempts = play(&mut harness, servers, 10_000, &mut calls);
-        attempts.extend(play(&mut harness, Servers::Answer, 5_000, &mut calls));
+        let mut attempts = run_calls(&mut harness, servers, 10_000, &mut calls);
+        attempts.extend(run_calls(
+            &mut harness,
+            ServerBehavior::Respond,
+            5_000,
+            &mut calls,
+        ));
         let gap = longest_gap(from, &attempts, harness.now);
         assert!(
-            gap < LONGEST / 2,
-            "{gap} ms with no attempt where servers {name}"
+            gap < MAX_REJECTION_MS / 2,
+            "{gap} ms with no attempt while servers {name}"
         );
     }
 }
 
-/// Servers are back after an outage: calls are served again, and not rejected for what was.
+/// Once servers have recovered from an outage, calls must be served again: the failures of the
+/// outage must not keep the node rejecting them.
 #[test]
-fn after_an_outage_calls_are_served_again_soon() {
+fn calls_are_served_soon_after_an_outage() {
     for (name, servers) in FAILURES {
         let mut harness = two_caches();
         let mut calls = 0;
-        play(&mut harness, servers, 10_000, &mut calls);
-        let before = served(&harness);
-        play(&mut harness, Servers::Answer, LONGEST, &mut calls);
-        let served = served(&harness) - before;
-        let asked = LONGEST / PACE / 2;
+        run_calls(&mut harness, servers, 10_000, &mut calls);
+        let before = served_reads(&harness);
+        run_calls(
+            &mut harness,
+            ServerBehavior::Respond,
+            MAX_REJECTION_MS,
+            &mut calls,
+        );
+        let served = served_reads(&harness) - before;
+        let reads = MAX_REJECTION_MS / CALL_INTERVAL_MS / 2;
         assert!(
-            served * 2 > asked as u64,
-            "{served} of {asked} served where servers {name}"
+            served * 2 > reads as u64,
+            "{served} of {reads} reads served after servers {name}"
         );
     }
 }
--- a/crates/node/tests/reducer/remaining.rs
+++ b/crates/node/tests/reducer/remaining.rs
@@ -1,20 +1,21 @@
-//! The time that an attempt tells its server: what the client has left at the write, on every path to it.
+//! The time left that an attempt states to its server: what is left of the client's time at the
+//! write, on every path that leads to a write.
 use super::common::*;
 
-/// The writes of a trace, as "time id wait".
+/// Returns the writes in a trace, each as "time id time_left", with both times in milliseconds.
 fn writes(trace: &str) -> Vec<String> {
-    let request = |line: &str| {
+    let words = |line: &str| {
         line.replace([':', ','], "")
             .split_whitespace()
             .map(str::to_owned)
             .collect()
     };
-    let lines = trace.lines().map(request);
+    let lines = trace.lines().map(words);
     let written =
-        lines.filter(|request: &Vec<String>| request.get(1).is_some_and(|word| word == "write"));
+        lines.filter(|words: &Vec<String>| words.get(1).is_some_and(|word| word == "write"));
     written
-        .map(|request| {
-            [&request[0], &request[3], &request[5]]
+        .map(|words| {
+            [&words[0], &words[3], &words[5]]
                 .map(String::as_str)
                 .join(" ")
         })
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn the_time_left_excludes_a_connect_at_caches_and_the_origin() {
+fn time_left_excludes_connects_to_caches_and_the_origin() {
     let (mut harness, _) = Harness::builder().with_call("view", 400);
     harness.advance(40);
     harness.connect(2);
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn an_attempt_on_a_reused_upstream_tells_the_time_left_after_the_first() {
+fn attempt_on_a_reused_upstream_states_its_own_time_left() {
     let (mut harness, client) = Harness::builder().with_call_in_flight("view", 400);
     harness.respond("miss", 2, failure(Outcome::Miss));
     harness.connect(3);
@@ -48,22 +49,23 @@
     );
 }
 
-/// The origin has capacity for some of the writes; the others are queued in the node, and written as capacity is free.
+/// The origin has capacity for some of the writes; the others are queued in the node, and written
+/// when capacity becomes free.
 #[test]
-fn the_time_left_excludes_the_queue_for_the_origin() {
+fn time_left_excludes_time_queued_for_the_origin() {
     let mut harness = Harness::builder().start();
-    let client = harness.client();
+    let client = harness.add_client();
     for id in 0..9 {
         harness.write(client, &format!("c{id}"), 400);
     }
     assert!(
         !harness.trace.contains("connect 7"),
-        "five places at once: {}",
+        "more than five attempts at once: {}",
         harness.trace
     );
     (2..7)
         .map(UpstreamId)
-        .for_each(|up| harness.report("up", |reducer, now| reducer.on_connected(now, up)));
+        .for_each(|id| harness.report("open", |reducer, now| reducer.on_connected(now, id)));
     harness.advance(50);
     harness.respond("receipt", 2, value("v"));
     harness.advance(20);
@@ -82,24 +84,25 @@
     );
 }
 
-/// Reads of one key wait for the fetch of the first of them, and are sent to the cache again after it.
+/// Concurrent reads of a key wait while the first of them fetches it from the origin, and are then
+/// sent to the cache again.
 #[test]
-fn the_time_left_excludes_the_wait_for_another_fetch_of_the_key() {
+fn time_left_excludes_waiting_for_another_fetch_of_the_key() {
     let mut harness = Harness::builder().start();
-    let client = harness.client();
+    let client = harness.add_client();
     let caches = [2, 3, 4].map(UpstreamId);
     ["c1", "c2", "c3"]
         .iter()
         .for_each(|id| harness.call(client, "view", id, 400));
     caches
         .iter()
-        .for_each(|up| harness.report("up", |reducer, now| reducer.on_connected(now, *up)));
-    caches.iter().for_each(|up| {
+        .for_each(|id| harness.report("open", |reducer, now| reducer.on_connected(now, *id)));
+    caches.iter().for_each(|id| {
         harness.report("miss", |reducer, now| {
-            reducer.on_response(now, *up, failure(Outcome::Miss))
+            reducer.on_response(now, *id, failure(Outcome::Miss))
         })
     });
-    harness.report("up at the origin", |reducer, now| {
+    harness.report("connected at the origin", |reducer, now| {
         reducer.on_connected(now, UpstreamId(5))
     });
     harness.advance(35);
@@ -117,14 +120,15 @@
     );
 }
 
-/// A reused upstream breaks before the last byte of an attempt is written: the attempt is written on a new one.
+/// A reused upstream breaks before the last byte of an attempt is written, and the attempt is
+/// written on a new one.
 #[test]
-fn an_attempt_moved_to_a_new_upstream_tells_the_time_left_then() {
-    let (mut harness, client) = Harness::builder().with_served_call("book", 400, "value");
+fn attempt_moved_to_a_new_upstream_states_its_own_time_left() {
+    let (mut harness, client) = Harness::builder().with_successful_call("book", 400, "value");
     harness.send(client, "book", "c2", 400);
-    harness.effects(false);
+    harness.print_effects(false);
     harness.advance(60);
-    harness.disconnect("broke unwritten", 2);
+    harness.disconnect("broken before the write", 2);
     harness.advance(50);
     harness.connect(3);
     assert_eq!(
@@ -133,9 +137,10 @@
     );
 }
 
-/// A cache resets and the origin fails: each retry tells the time left at its own write.
+/// A cache resets the connection and the origin fails; each retry states the time left at its own
+/// write.
 #[test]
-fn retries_tell_the_time_left_after_a_reset_and_an_error() {
+fn retries_state_the_time_left_after_a_reset_and_an_error() {
     let (mut harness, _) = Harness::builder().with_call_in_flight("view", 450);
     harness.advance(50);
     harness.disconnect("reset 2", 2);
--- a/crates/node/tests/reducer/trace.rs
+++ b/crates/node/tests/reducer/trace.rs
@@ -1,7 +1,7 @@
-//! Effects as the printed traces have them.
+//! The format of effects in printed traces.
 use super::common::*;
 
-/// An effect as the trace has it.
+/// Returns an effect in the format of the trace.
 pub fn describe(effect: Effect) -> String {
     match effect {
         Effect::Connect { upstream, to, .. } => {
@@ -10,13 +10,13 @@
         Effect::Write {
             upstream,
             request,
-            time_left: wait,
+            time_left: remaining,
             ..
         } => format!(
-            "write {}: {}, wait {}",
+            "write {}: {}, time_left {}",
             upstream.0,
             request.id,
-            wait.as_ms()
+            remaining.as_ms()
         ),
         Effect::CloseUpstream { upstream } => format!("close upstream {}", upstream.0),
         Effect::Respond { client, response } => match response {
@@ -28,19 +28,19 @@
         },
         Effect::CloseClient {
             client,
-            after_silence: quiet,
-        } if quiet == Span::ZERO => {
+            after_silence: silence,
+        } if silence == Span::ZERO => {
             format!("close client {}", client.0)
         }
         Effect::CloseClient {
             client,
-            after_silence: quiet,
+            after_silence: silence,
         } => format!(
             "close client {} after {} ms of silence",
             client.0,
-            quiet.as_ms()
+            silence.as_ms()
         ),
-        Effect::AbortClient { client } => format!("cut client {}", client.0),
-        Effect::DrainClient { client } => format!("read no more of client {}", client.0),
+        Effect::AbortClient { client } => format!("abort client {}", client.0),
+        Effect::DrainClient { client } => format!("drain client {}", client.0),
     }
 }
