--- a/crates/node/src/reducer/connections.rs
+++ b/crates/node/src/reducer/connections.rs
@@ -58,7 +58,8 @@
         self.close_found_client(evictable)
     }
 
-    /// Closes an idle client if there are more of them than the limit.
+    /// Closes an idle client if more clients that have made API calls are connected than the limit
+    /// of idle clients.
     pub(super) fn close_surplus_client(&mut self) {
         if let Some(id) = self.clients.surplus_idle(self.now, &self.limits) {
             self.close_client(id);
--- a/crates/node/src/reducer/endpoint_list.rs
+++ b/crates/node/src/reducer/endpoint_list.rs
@@ -180,13 +180,13 @@
     /// Returns the state that an entry gives its server. It depends on the state that the list
     /// gave the server before.
     fn listed_state(&self, server: &Server, entry: &EndpointListEntry) -> EndpointState {
-        let before = server
+        let previous = server
             .listed
             .as_ref()
             .map_or(EndpointState::Gone, |listed| listed.state);
         match entry.state.as_deref() {
             Some(IN_SERVICE) => EndpointState::Ready,
-            Some(TERMINATED) => before.after_removal(self.delisted_endpoints_stay_usable),
+            Some(TERMINATED) => previous.after_removal(self.delisted_endpoints_stay_usable),
             _ => EndpointState::Draining,
         }
     }
@@ -229,14 +229,14 @@
         .filter(|endpoint| endpoint.state == EndpointState::Ready)
         .filter_map(|endpoint| Some((servers[endpoint.server].addr?, endpoint.server)))
         .collect();
-    let is_named = |index: ServerIndex| endpoints.iter().any(|endpoint| endpoint.server == index);
+    let is_listed = |index: ServerIndex| endpoints.iter().any(|endpoint| endpoint.server == index);
     let mut superseded = Vec::new();
     for (index, server) in servers.iter_mut() {
         if server.state == EndpointState::Gone || server.is_origin {
             continue;
         }
         let successor = server.addr.and_then(|addr| ready_by_addr.get(&addr));
-        if successor.is_none_or(|successor| *successor == index) || is_named(index) {
+        if successor.is_none_or(|successor| *successor == index) || is_listed(index) {
             continue;
         }
         server.state = EndpointState::Gone;
@@ -253,9 +253,9 @@
 
 /// Returns the index of the listed server with this id.
 pub(super) fn find_server(servers: &Servers, id: ServerId) -> Option<ServerIndex> {
-    let is_named = |server: &Server| server.listed.as_ref().is_some_and(|listed| listed.id == id);
+    let has_id = |server: &Server| server.listed.as_ref().is_some_and(|listed| listed.id == id);
     servers
         .iter()
-        .find(|(_, server)| is_named(server))
+        .find(|(_, server)| has_id(server))
         .map(|(index, _)| index)
 }
