--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,80 +1,83 @@
-//! Admission: tenants' quotas, and load shedding.
+//! Admission control: tenants' quotas and load shedding.
 use crate::config::PolicyConfig;
 use crate::latency_baseline::SAMPLE_WEIGHT;
-use crate::outlier_detection::SLOW_ANSWER_RATIO;
+use crate::outlier_detection::SLOW_RESPONSE_RATIO;
 use crate::pcg::Pcg;
 use crate::time::Time;
 
-/// Quota that a tenant may save up for a burst.
+/// Seconds of unused quota that a tenant may accumulate for a burst.
 const MIN_QUOTA_BURST_SECONDS: f64 = 2.0;
-/// Calls that a tenant may save up at least: with fewer, chance would look like a burst.
+/// Least burst size of a tenant, in calls: with a smaller one, random clustering of calls would
+/// look like a burst.
 const MIN_QUOTA_BURST_CALLS: f64 = 6.0;
-/// Time over which a node's own traffic is averaged; long against a burst.
-const TRAFFIC_MEMORY_SECONDS: f64 = 20.0;
-/// The quotas of all tenants together are taken for at least this many times the node's usual
-/// traffic.
+/// Averaging time of the node's own traffic; long compared to a burst.
+const TRAFFIC_AVERAGING_SECONDS: f64 = 20.0;
+/// Least sum of all tenants' effective quotas, as a multiple of the node's mean traffic.
 const MIN_QUOTA_TO_TRAFFIC_RATIO: f64 = 2.0;
-/// Least part of a full average that the traffic seen so far is taken for.
+/// Least coverage that the traffic mean is divided by, so that the first calls do not yield an
+/// extreme rate.
 const MIN_TRAFFIC_COVERAGE_RATIO: f64 = 0.1;
-/// Least excess of a call for which no quota is saved up.
+/// Least over-quota ratio of a call that finds its tenant's token bucket empty.
 const MIN_OVER_QUOTA_RATIO: f64 = 0.05;
-/// Part of attempts rejected as overloaded above which calls over quota are shed.
-const MAX_REJECTION_RATIO: f64 = 0.06;
-/// Queueing at caches, as a part of the latency objective, above which calls over quota are shed.
+/// Fraction of attempts rejected as overloaded above which calls over quota are shed.
+const OVERLOAD_REJECTION_RATIO: f64 = 0.06;
+/// Queueing delay at caches, as a fraction of the latency objective, above which calls over quota
+/// are shed.
 const OVER_QUOTA_QUEUEING_RATIO: f64 = 0.3;
-/// Queueing at caches, as a part of the latency objective, above which calls within quota are shed.
-const IN_QUOTA_QUEUEING_RATIO: f64 = SLOW_ANSWER_RATIO;
-/// Probability of shedding a call at twice its quota when the shed probability is full. Above one,
-/// so that clients' retries are shed before first calls.
+/// Queueing delay at caches, as a fraction of the latency objective, above which calls within quota
+/// are shed.
+const IN_QUOTA_QUEUEING_RATIO: f64 = SLOW_RESPONSE_RATIO;
+/// Probability of shedding a call at twice its quota once `shed_probability` has reached 1. Above
+/// 1, so that clients' retries are shed before first calls.
 const OVER_QUOTA_SHED_FACTOR: f64 = 1.5;
-/// Rise of the shed probability in a tick: full in half a second.
+/// Increase of the shed probability per tick: from 0 to 1 in half a second.
 const SHED_RISE_PER_TICK: f64 = 0.04;
-/// Fall of the shed probability in a tick: zero in two seconds.
+/// Decrease of the shed probability per tick: from 1 to 0 in two seconds.
 const SHED_FALL_PER_TICK: f64 = 0.01;
 
-/// A tenant's use of its quota at this node.
+/// The token bucket of a tenant's quota at this node.
 struct Tenant {
     quota_per_second: f64,
-    saved_calls: f64,
-    /// Calls a second, a running mean.
+    tokens: f64,
+    /// Calls per second, a running mean.
     call_rate: f64,
     updated: Time,
 }
 
-/// Decides which API calls are taken.
+/// Decides which API calls are admitted.
 #[derive(Default)]
 pub(crate) struct Admission {
     tenants: Vec<Tenant>,
-    /// Quotas of all tenants at this node, in calls a second.
+    /// Sum of all tenants' quotas at this node, in calls per second.
     total_quota_per_second: f64,
-    /// Calls a second of tenants with a quota, a running mean.
+    /// Calls per second of all tenants with a quota, a running mean.
     call_rate: f64,
-    /// Part of a full averaging time that `call_rate` covers.
+    /// Fraction of a full averaging period that `call_rate` covers.
     rate_coverage: f64,
-    /// When `call_rate` was last brought up to date.
+    /// When `call_rate` was last updated.
     pub(crate) updated: Time,
-    /// Part of attempts that caches rejected as overloaded, a running mean.
+    /// Fraction of attempts that caches rejected as overloaded, a running mean.
     rejection_ratio: f64,
-    /// Probability that a call over quota is shed.
+    /// Probability with which a call at twice its quota is shed, before `OVER_QUOTA_SHED_FACTOR`.
     shed_probability: f64,
 }
 
 impl Admission {
-    /// Takes over each tenant's part of its quota at this node. What was used of it is kept while
-    /// no quota changes.
+    /// Sets each tenant's quota at this node: its total quota divided by the number of nodes. The
+    /// token buckets are kept if no quota has changed.
     pub(crate) fn configure(&mut self, config: &PolicyConfig) {
         let quotas: Vec<f64> = config
             .tenant_quotas
             .iter()
             .map(|quota| quota / config.nodes)
             .collect();
-        let known = self.tenants.iter().map(|tenant| &tenant.quota_per_second);
-        if quotas.iter().eq(known) {
+        let configured = self.tenants.iter().map(|tenant| &tenant.quota_per_second);
+        if quotas.iter().eq(configured) {
             return;
         }
         let tenant = |quota_per_second: f64| Tenant {
             quota_per_second,
-            saved_calls: (quota_per_second * MIN_QUOTA_BURST_SECONDS).max(MIN_QUOTA_BURST_CALLS),
+            tokens: (quota_per_second * MIN_QUOTA_BURST_SECONDS).max(MIN_QUOTA_BURST_CALLS),
             call_rate: 0.0,
             updated: self.updated,
         };
@@ -82,80 +85,90 @@
         self.tenants = quotas.into_iter().map(tenant).collect();
     }
 
-    /// Forgets the overload seen, which was judged by other latency objectives.
+    /// Resets the shed probability and the rejection ratio, which were measured against other
+    /// latency objectives.
     pub(crate) fn reset_shedding(&mut self) {
         self.shed_probability = 0.0;
         self.rejection_ratio = 0.0;
     }
 
-    /// How far over its tenant's quota a call is: 0 within it, 1 at twice it. A client's retry uses
-    /// no quota and counts as `lost_value`, the part of its weight that it has lost.
-    pub(crate) fn over_quota(&mut self, tenant: usize, lost_value: f64, now: Time) -> f64 {
+    /// Charges a call to its tenant's quota and returns how far over the quota it is: 0 within it,
+    /// 1 at twice it. A client's retry takes no token; its ratio is `lost_weight_ratio`, the
+    /// fraction of its priority weight that it has lost by being late.
+    pub(crate) fn over_quota_ratio(
+        &mut self,
+        tenant: usize,
+        lost_weight_ratio: f64,
+        now: Time,
+    ) -> f64 {
         let has_quota = |tenant: &Tenant| tenant.quota_per_second > 0.0;
         if !self.tenants.get(tenant).is_some_and(has_quota) {
-            return lost_value;
+            return lost_weight_ratio;
         }
-        let traffic = self.record_traffic(now);
+        let min_total_quota = self.record_traffic(now);
         let tenant = &mut self.tenants[tenant];
-        // Guards against quotas under a call a second, and against a front end that sends one node
-        // far more than its part of the traffic, other nodes' parts too.
+        // A tenant's quota at a node may be less than a call per second, and a front end may send
+        // one node far more than its fraction of the traffic, which includes other nodes' fractions
+        // of the quotas. With the plain quota and burst, such a node would take most calls for
+        // calls over quota.
         let quota_per_second =
-            tenant.quota_per_second * (traffic / self.total_quota_per_second).max(1.0);
+            tenant.quota_per_second * (min_total_quota / self.total_quota_per_second).max(1.0);
         let burst_seconds = (MIN_QUOTA_BURST_CALLS / quota_per_second).max(MIN_QUOTA_BURST_SECONDS);
         tenant.record_call(quota_per_second, burst_seconds, now);
-        if lost_value > 0.0 {
-            return lost_value;
+        if lost_weight_ratio > 0.0 {
+            return lost_weight_ratio;
         }
-        if tenant.saved_calls >= 1.0 {
-            tenant.saved_calls -= 1.0;
+        if tenant.tokens >= 1.0 {
+            tenant.tokens -= 1.0;
             return 0.0;
         }
         (tenant.call_rate / quota_per_second - 1.0).clamp(MIN_OVER_QUOTA_RATIO, 1.0)
     }
 
-    /// Counts a call and returns the calls a second that all quotas together are taken for at
-    /// least.
+    /// Records a call and returns the least sum of all quotas that is assumed at this node, in
+    /// calls per second.
     fn record_traffic(&mut self, now: Time) -> f64 {
-        let kept = (-(now - self.updated).seconds() / TRAFFIC_MEMORY_SECONDS).exp();
-        self.call_rate = self.call_rate * kept + 1.0 / TRAFFIC_MEMORY_SECONDS;
-        self.rate_coverage = self.rate_coverage * kept + 1.0 - kept;
+        let decay_factor = (-(now - self.updated).seconds() / TRAFFIC_AVERAGING_SECONDS).exp();
+        self.call_rate = self.call_rate * decay_factor + 1.0 / TRAFFIC_AVERAGING_SECONDS;
+        self.rate_coverage = self.rate_coverage * decay_factor + 1.0 - decay_factor;
         self.updated = now;
         MIN_QUOTA_TO_TRAFFIC_RATIO * self.call_rate
             / self.rate_coverage.max(MIN_TRAFFIC_COVERAGE_RATIO)
     }
 
-    /// Whether a call is taken. `queueing_delay_ratio` is the delay at caches as a part of the
-    /// latency objective, and `confidence` how far to go by it. Guards against reads shed at nodes
-    /// of few answers, where one slow call or one overloaded cache looks like overload.
+    /// Decides at random whether a call is admitted. `queueing_delay_ratio` is the queueing delay
+    /// at caches as a fraction of the latency objective, and `confidence` the weight from 0 to 1
+    /// that it gets. Without this weight, nodes with few responses would shed reads because of a
+    /// single slow call or overloaded cache.
     pub(crate) fn admit(
         &self,
-        over_quota: f64,
+        over_quota_ratio: f64,
         queueing_delay_ratio: f64,
         confidence: f64,
         rng: &mut Pcg,
     ) -> bool {
-        let confidence = if self.rejection_ratio > MAX_REJECTION_RATIO {
+        let confidence = if self.rejection_ratio > OVERLOAD_REJECTION_RATIO {
             1.0
         } else {
             confidence
         };
         let overload = confidence * (queueing_delay_ratio - IN_QUOTA_QUEUEING_RATIO)
             / (1.0 - IN_QUOTA_QUEUEING_RATIO);
-        // Guards against clients' retries that take the place of first calls: both terms shed what
-        // is over quota.
+        // Both terms shed calls over quota first; otherwise clients' retries would displace first
+        // calls.
         rng.unit()
-            >= overload.max(0.0) + OVER_QUOTA_SHED_FACTOR * self.shed_probability * over_quota
+            >= overload.max(0.0) + OVER_QUOTA_SHED_FACTOR * self.shed_probability * over_quota_ratio
     }
 
-    /// Counts an attempt at a cache that is no outlier.
+    /// Records whether a cache that is no outlier rejected an attempt.
     pub(crate) fn record_attempt(&mut self, rejected: bool) {
         self.rejection_ratio +=
             SAMPLE_WEIGHT * (f64::from(u8::from(rejected)) - self.rejection_ratio);
     }
 
-    /// Moves the shed probability by the overload seen at the caches.
+    /// Adjusts the shed probability to the overload observed at the caches.
     pub(crate) fn tick(&mut self, queueing_delay_ratio: f64) {
-        let is_overloaded = self.rejection_ratio > MAX_REJECTION_RATIO
+        let is_overloaded = self.rejection_ratio > OVERLOAD_REJECTION_RATIO
             || queueing_delay_ratio > OVER_QUOTA_QUEUEING_RATIO;
         let change = if is_overloaded {
             SHED_RISE_PER_TICK
@@ -171,7 +184,7 @@
         let elapsed = (now - self.updated).seconds();
         self.updated = now;
         self.call_rate = self.call_rate * (-elapsed / burst_seconds).exp() + 1.0 / burst_seconds;
-        self.saved_calls =
-            (self.saved_calls + elapsed * quota_per_second).min(quota_per_second * burst_seconds);
+        self.tokens =
+            (self.tokens + elapsed * quota_per_second).min(quota_per_second * burst_seconds);
     }
 }
--- a/crates/policy/src/attempt.rs
+++ b/crates/policy/src/attempt.rs
@@ -2,43 +2,45 @@
 use crate::endpoint::ServerIndex;
 use crate::time::Time;
 
-/// What is known of an attempt's effect.
+/// Whether an attempt has ended, and whether the server may have executed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AttemptState {
-    /// Not ended yet.
+    /// It has not ended yet.
     InFlight,
-    /// Ended, and the server provably did not execute it.
+    /// It has ended, and the server provably did not execute it.
     NotExecuted,
-    /// Ended, and the server may have executed it.
+    /// It has ended, and the server may have executed it.
     MayHaveExecuted,
 }
 
-/// Why an attempt is made.
+/// Why an attempt is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AttemptCause {
     /// The call's first attempt, or a retry after a failure or a miss.
     Routed,
-    /// An earlier attempt is overdue: a hedge beside it, or a retry after it was cancelled.
+    /// An earlier attempt is overdue: a hedged request beside it, or a retry after it was
+    /// cancelled.
     Overdue,
 }
 
-/// An attempt.
+/// An attempt of an API call at a server.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub(crate) server: ServerIndex,
     pub(crate) sent: Time,
     pub(crate) state: AttemptState,
     pub(crate) cause: AttemptCause,
-    /// Charged to the retry budget.
+    /// Whether it was charged to the retry budget.
     pub(crate) charged: bool,
-    /// Counted among the caches' attempts in flight, which queueing is estimated from.
+    /// Whether it counts as an attempt in flight in `CacheLoad`, which estimates queueing from
+    /// them.
     pub(crate) counted_in_load: bool,
-    /// At the origin, in the slot that is reserved for writes.
+    /// Whether it uses the origin's slot that is reserved for writes.
     pub(crate) uses_write_slot: bool,
 }
 
 impl Attempt {
-    /// An attempt that starts now.
+    /// Returns an attempt that is sent now.
     pub(crate) fn new(server: ServerIndex, sent: Time, cause: AttemptCause) -> Attempt {
         Attempt {
             server,
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Whether it has not ended yet.
+    /// Returns whether it has not ended yet.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.state == AttemptState::InFlight
     }
--- a/crates/policy/src/attempt_completion.rs
+++ b/crates/policy/src/attempt_completion.rs
@@ -1,10 +1,10 @@
-//! How an attempt ended: what is learnt from it, and how its API call goes on.
+//! The end of an attempt: what the policy learns from it, and how its API call continues.
 use crate::actions::PolicyActions;
 use crate::attempt::{AttemptCause, AttemptState};
 use crate::attempt_result::{AttemptResult, Outcome};
 use crate::balancer::Balancer;
 use crate::endpoint::ServerIndex;
-use crate::outlier_detection::SLOW_ANSWER_RATIO;
+use crate::outlier_detection::SLOW_RESPONSE_RATIO;
 use crate::request::CallIndex;
 use crate::time::Time;
 
@@ -16,7 +16,7 @@
 }
 
 impl Balancer {
-    /// An attempt has ended.
+    /// Handles the end of an attempt.
     pub fn on_attempt_result(
         &mut self,
         now: Time,
@@ -25,8 +25,8 @@
         actions: &mut impl PolicyActions,
     ) {
         self.now = now;
-        // Guards against another attempt, or answer, for a call that this very report says has its
-        // answer.
+        // A call that is finished by this very result must be closed before deadlines run:
+        // otherwise a deadline that is due could send it another attempt or a second response.
         if result.call_finished {
             self.complete_attempt(index, &result, actions);
             self.run_deadlines(actions);
@@ -36,8 +36,9 @@
         }
     }
 
-    /// The first byte of a streamed answer has come. The call is the client's now and falls due no
-    /// more.
+    /// Handles the first byte of a streamed response. From here on the client is served by this
+    /// attempt: the call's other attempts are cancelled, and it gets no further ones when it
+    /// becomes overdue.
     pub fn on_first_byte(
         &mut self,
         now: Time,
@@ -62,7 +63,7 @@
         let Some(attempt) = self.end_attempt(index, result) else {
             return;
         };
-        self.steer_key_limiter(index, result);
+        self.update_key_limiter(index, result);
         let from_origin = self.servers[attempt.server.0].is_origin;
         if from_origin {
             let call = &self.calls[index.0];
@@ -73,7 +74,7 @@
                 attempt.uses_write_slot,
             );
         } else {
-            self.learn_from_cache(index, attempt.server, result);
+            self.record_cache_result(index, attempt.server, result);
         }
         if attempt.cause == AttemptCause::Overdue && result.outcome != Outcome::NotSent {
             self.hedge_tokens.record(result.outcome == Outcome::Success);
@@ -85,7 +86,8 @@
         self.send_queued(actions);
     }
 
-    /// Finishes a call that has its answer, or whose answer broke off; else makes another attempt.
+    /// Finishes a call that has its final response, or whose response was interrupted; otherwise
+    /// makes another attempt.
     fn continue_call(
         &mut self,
         index: CallIndex,
@@ -108,7 +110,7 @@
         self.finish(index, filled_cache, actions);
     }
 
-    /// Marks an attempt as ended; none if it was not in flight.
+    /// Marks an attempt as ended. Returns `None` if it was not in flight.
     fn end_attempt(&mut self, index: CallIndex, result: &AttemptResult) -> Option<EndedAttempt> {
         let call = self.calls.get_mut(index.0).filter(|call| call.live)?;
         let attempt = call
@@ -135,26 +137,31 @@
         })
     }
 
-    /// Moves the limit of a key that fails everywhere.
-    fn steer_key_limiter(&mut self, index: CallIndex, result: &AttemptResult) {
+    /// Adjusts the concurrency limit of a key that fails at every cache.
+    fn update_key_limiter(&mut self, index: CallIndex, result: &AttemptResult) {
         let call = &self.calls[index.0];
         let Some(limiter) = self.key_health.limiter(call.key) else {
             return;
         };
-        let target = call.product.latency_objective.times(SLOW_ANSWER_RATIO);
+        let target = call.product.latency_objective.times(SLOW_RESPONSE_RATIO);
         match result.outcome {
             Outcome::Success => {
-                limiter.record_answer(1.0 - result.latency.0 as f64 / target.0 as f64);
+                limiter.record_response(1.0 - result.latency.0 as f64 / target.0 as f64);
             }
-            Outcome::ServerError | Outcome::TimedOut => limiter.record_answer(-1.0),
+            Outcome::ServerError | Outcome::TimedOut => limiter.record_response(-1.0),
             _ => {}
         }
     }
 
-    fn learn_from_cache(&mut self, index: CallIndex, cache: ServerIndex, result: &AttemptResult) {
-        self.record_cache_answer(index, cache, result);
+    fn record_cache_result(
+        &mut self,
+        index: CallIndex,
+        cache: ServerIndex,
+        result: &AttemptResult,
+    ) {
+        self.record_cache_response(index, cache, result);
         let server = &self.servers[cache.0];
-        let was_trusted = !self.outliers.is_outlier(server, self.now);
+        let was_healthy = !self.outliers.is_outlier(server, self.now);
         self.record_key_outcome(index, cache, result);
         let call = &self.calls[index.0];
         self.outliers.record(
@@ -164,14 +171,14 @@
             self.key_health.is_limited(call.key),
             self.now,
         );
-        if was_trusted && result.outcome != Outcome::NotSent {
+        if was_healthy && result.outcome != Outcome::NotSent {
             self.admission
                 .record_attempt(result.outcome == Outcome::Overloaded);
         }
     }
 
-    /// Counts an answer in the caches' load, and refused connections.
-    fn record_cache_answer(
+    /// Records a response in the caches' load, or a refused connection.
+    fn record_cache_response(
         &mut self,
         index: CallIndex,
         cache: ServerIndex,
@@ -190,18 +197,18 @@
                     Outcome::Miss => None,
                     _ => Some(self.calls[index.0].product_index),
                 };
-                self.cache_load.record_answer(result.latency, product);
-                self.idle_connections.record_answer();
+                self.cache_load.record_response(result.latency, product);
+                self.idle_connections.record_response();
             }
             _ => {}
         }
     }
 
-    /// Records for a call's key how its attempt at a cache went.
+    /// Records how an attempt at a cache ended for the call's key.
     fn record_key_outcome(&mut self, index: CallIndex, cache: ServerIndex, result: &AttemptResult) {
         let call = &self.calls[index.0];
         let latency_objective = call.product.latency_objective;
-        let is_late = self.key_health.late_answers_count
+        let is_late = self.key_health.late_responses_are_failures
             && result.latency.0 as f64 > self.outliers.slow_micros(latency_objective);
         let is_good = match result.outcome {
             Outcome::Success | Outcome::Miss => Some(!is_late),
@@ -212,7 +219,7 @@
         if let Some(is_good) = is_good {
             self.key_health.record(call.key, cache, is_good, self.now);
         }
-        let target = latency_objective.times(SLOW_ANSWER_RATIO);
+        let target = latency_objective.times(SLOW_RESPONSE_RATIO);
         self.key_health.limit_if_failing(
             call.key,
             self.outliers.fleet_success_ratio,
@@ -221,15 +228,16 @@
         );
     }
 
-    /// After a miss the origin is asked next, outside the retry budget.
+    /// Routes the call to the origin next if a cache has missed, with an attempt outside the retry
+    /// budget.
     fn record_miss(&mut self, index: CallIndex, from_origin: bool, outcome: Outcome) {
         let call = &mut self.calls[index.0];
-        // Guards against a call that brings down the caches it is sent to: the origin takes it
-        // instead.
-        let broke_cache =
+        // A call that crashes the cache it is sent to would crash the next one as well, so the
+        // origin gets it instead.
+        let reset_by_cache =
             outcome == Outcome::Reset && !call.write && self.origin.accepts_unmissed_read(self.now);
         let missed = outcome == Outcome::Miss;
-        call.missed |= (missed || broke_cache) && !from_origin;
+        call.missed |= (missed || reset_by_cache) && !from_origin;
         if missed {
             self.retry_policy.budget.record_miss(call, self.now);
         }
--- a/crates/policy/src/attempt_result.rs
+++ b/crates/policy/src/attempt_result.rs
@@ -1,33 +1,33 @@
 //! How attempts end.
 use crate::time::Span;
 
-/// What became of an attempt.
+/// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The server answered.
+    /// The server responded with success.
     Success,
-    /// The server answered with an error; the work may have run.
+    /// The server responded with an error; it may have executed the call.
     ServerError,
-    /// Rejected unseen, for want of capacity.
+    /// The server rejected the attempt for lack of capacity, without executing it.
     Overloaded,
-    /// No answer in time.
+    /// The server did not respond in time.
     TimedOut,
-    /// No connection was made.
+    /// No connection to the server could be established.
     Unreachable,
     /// The connection broke while the attempt was in flight.
     Reset,
-    /// Cancelled after it was written.
+    /// The attempt was cancelled after it was written.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
-    /// The cache lacks the key.
+    /// The cache does not hold the key.
     Miss,
-    /// A code this build does not know; the work may have run.
+    /// The result code is unknown to this build; the server may have executed the call.
     Unrecognized,
 }
 
 impl Outcome {
-    /// Whether the work provably never ran.
+    /// Returns whether the server provably did not execute the call.
     pub fn proves_not_executed(self) -> bool {
         matches!(
             self,
@@ -41,10 +41,10 @@
 pub struct AttemptResult {
     /// The attempt's index among the call's attempts.
     pub attempt: usize,
-    /// What became of it.
+    /// How it ended.
     pub outcome: Outcome,
-    /// From its start to its end.
+    /// Time from the start of the attempt to its end.
     pub latency: Span,
-    /// The API call has its final answer already.
+    /// Whether the API call already has its final response.
     pub call_finished: bool,
 }
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -1,5 +1,5 @@
-//! The balancer of one node: its state, its configuration and what is reported of it. Events
-//! are handled in the modules of their concern:
+//! The balancer of one node: its state, its configuration and the figures that it reports. Events
+//! are handled in these modules:
 //!
 //! - `endpoint_list`: `start`, `on_endpoint_list`, `on_endpoint_list_failed`
 //! - `new_call`: `on_call`, `on_client_cancelled`
@@ -28,26 +28,26 @@
 use crate::slow_start::SlowStart;
 use crate::time::{Span, Time};
 
-/// The latency objective where no product has one.
+/// Latency objective if no product is configured.
 const DEFAULT_LATENCY_OBJECTIVE: Span = Span::ms(1_000);
 
-/// The decisions of one node. It is given events and calls what it decides on the `PolicyActions`
-/// given along.
+/// Makes the routing decisions of one node. Each event handler calls the resulting actions on the
+/// `PolicyActions` passed to it.
 #[derive(Default)]
 pub struct Balancer {
-    /// The configured products, then one for all that are unknown.
+    /// The configured products, followed by one that stands for all unknown products.
     pub(crate) products: Vec<Product>,
     pub(crate) shortest_objective: Span,
     pub(crate) nodes: f64,
     pub(crate) cache_aside: bool,
     pub(crate) origin_kind: Option<u32>,
     pub(crate) max_retry_after: Option<Span>,
-    /// A server that the endpoint list drops without having drained may still be used.
+    /// Whether a server that was delisted without having drained may still be used.
     pub(crate) dropped_endpoints_stay_usable: bool,
     pub(crate) deadline_drift: Span,
     pub(crate) start_time_skew: Span,
     pub(crate) rng: Pcg,
-    /// The time of the event that is being handled.
+    /// Time of the event that is being handled.
     pub(crate) now: Time,
     pub(crate) last_tick: Time,
     pub(crate) servers: Vec<Server>,
@@ -70,7 +70,7 @@
 }
 
 impl Balancer {
-    /// A balancer that knows no server yet. `seed` decides all that is drawn at random.
+    /// Returns a balancer that knows no server yet. `seed` determines all random choices.
     pub fn new(config: &PolicyConfig, seed: u64) -> Balancer {
         let mut balancer = Balancer {
             rng: Pcg::new(seed),
@@ -82,11 +82,12 @@
         balancer
     }
 
-    /// Goes by another configuration from now on. Open calls keep their product's rules, and
-    /// servers their role until the next endpoint list. What was learnt is kept where it means the
-    /// same, as answer times and rates do; limits at the origin follow the number of nodes,
-    /// outcomes and shedding the latency objectives, and the success of additional attempts whether
-    /// two may be in flight.
+    /// Applies another configuration. Open calls keep their product's rules, and servers keep their
+    /// role until the next endpoint list. Learnt values are kept if they still apply under the new
+    /// configuration, such as response times and rates. Limits at the origin are rescaled to the
+    /// number of nodes; outcomes and load shedding are reset if the latency objectives change, and
+    /// the success ratio of additional attempts if two attempts of a call may now be in flight, or
+    /// no longer may.
     pub fn reconfigure(&mut self, config: &PolicyConfig) {
         self.cache_aside = config.cache_aside;
         self.origin_kind = config.origin_kind;
@@ -98,7 +99,7 @@
         self.slow_start.config = config.slow_start;
         self.idle_connections.configure(config.keepalive);
         self.endpoint_list.config = config.endpoint_list;
-        self.key_health.late_answers_count = config.late_answers_count_against_keys;
+        self.key_health.late_responses_are_failures = config.late_responses_count_against_keys;
         self.configure_products(config);
         let previous_nodes = std::mem::replace(&mut self.nodes, config.nodes);
         self.origin
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Starts over with caches that nothing is known of.
+    /// Resets all learnt values to their initial state for a new fleet of caches.
     pub(crate) fn reset_caches(&mut self) {
         self.cache_load.reset_latencies(&self.products);
         self.idle_connections.connected_ratio = 1.0;
@@ -141,7 +142,7 @@
         self.hedge_tokens.reset();
     }
 
-    /// What was learnt of the fleet and of this server.
+    /// Returns what the node has learnt about the fleet and this server.
     pub fn diagnostics(&self, server: ServerIndex) -> Diagnostics {
         let moving_average = self
             .servers
@@ -151,20 +152,20 @@
             median_latency_ms: self.outliers.median_micros / 1000.0,
             origin_limit: self.origin.limiter.limit,
             fleet_success_ratio: self.outliers.fleet_success_ratio,
-            answers_per_second: self.cache_load.answers_per_second,
+            answers_per_second: self.cache_load.responses_per_second,
             moving_average,
         }
     }
 
-    /// This node's own load, to be reported to others.
+    /// Returns this node's own load, to be reported to other nodes.
     pub fn load(&self) -> NodeLoad {
         NodeLoad {
             mean_in_flight: self.cache_load.mean_in_flight,
-            answers_per_second: self.cache_load.answers_per_second,
+            answers_per_second: self.cache_load.responses_per_second,
         }
     }
 
-    /// How many ready caches are outliers now, and so are mostly passed over.
+    /// Returns the number of ready caches that are outliers and therefore rarely used.
     pub fn outlier_count(&self, now: Time) -> usize {
         self.cache_selector
             .caches
--- a/crates/policy/src/call.rs
+++ b/crates/policy/src/call.rs
@@ -1,24 +1,24 @@
-//! What is kept of an API call.
+//! The state of an API call.
 use crate::attempt::{Attempt, AttemptState};
 use crate::config::Product;
 use crate::request::CallIndex;
 use crate::time::Time;
 
-/// Where an API call stands.
+/// The phase that an API call is in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) enum CallPhase {
-    /// It is being routed.
+    /// A server is being selected for it.
     #[default]
     Routing,
-    /// It waits for another call's fetch of its key from the origin.
+    /// It waits for another call to fetch its key from the origin.
     AwaitingFetch,
     /// It waits for a slot at the origin.
     QueuedForOrigin,
-    /// It has been sent to a server.
+    /// An attempt of it has been sent to a server.
     InFlight,
 }
 
-/// Names one API call, also after its index was given to another.
+/// Identifies one API call, even after its index has been reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct CallHandle {
     pub(crate) index: CallIndex,
@@ -28,44 +28,46 @@
 /// An API call.
 #[derive(Default)]
 pub(crate) struct Call {
-    /// Tells it from other calls under the same index.
+    /// Distinguishes it from other calls with the same index.
     pub(crate) serial: u32,
-    /// Not released yet: attempts may still be in flight after the final answer.
+    /// Whether it is not released yet: attempts may still be in flight after the final response.
     pub(crate) live: bool,
-    /// It has its final answer.
+    /// Whether it has its final response.
     pub(crate) finished: bool,
-    /// A server's answer is being streamed to the client.
+    /// Whether a server's response is being streamed to the client.
     pub(crate) streaming: bool,
     pub(crate) phase: CallPhase,
-    /// Its product and most attempts as of its arrival, also once the configuration has others.
+    /// Its product, as configured when it arrived; later changes of the configuration do not apply
+    /// to it. The same holds for `max_attempts`.
     pub(crate) product: Product,
     pub(crate) product_index: usize,
     pub(crate) max_attempts: usize,
     /// How far its tenant was over its quota: 0 within it, 1 at twice it.
-    pub(crate) over_quota: f64,
+    pub(crate) over_quota_ratio: f64,
     pub(crate) write: bool,
-    /// A cache lacked its object, or broke under it: the origin is asked next.
+    /// Whether a cache missed or reset the connection, so that the origin is tried next.
     pub(crate) missed: bool,
-    /// Other calls wait for its fetch from the origin.
+    /// Whether it fetches its key from the origin, and other calls may wait for that fetch.
     pub(crate) leads_fetch: bool,
-    /// Holds a slot of its key's limiter.
+    /// Whether it holds a slot of its key's limiter.
     pub(crate) holds_key_slot: bool,
-    /// An overdue attempt was cancelled to be made again elsewhere.
+    /// Whether an overdue attempt was cancelled, so that its next attempt replaces that one.
     pub(crate) replaces_overdue: bool,
     pub(crate) key: u64,
-    /// Where the key stands between 0 and 1.
+    /// Position of the key between 0 and 1.
     pub(crate) key_position: f64,
-    /// When the client gives up.
-    pub(crate) expires: Time,
-    /// When to look at it next.
-    pub(crate) deadline: Time,
+    /// When the client's timeout expires.
+    pub(crate) client_deadline: Time,
+    /// Deadline of the current phase: `Balancer::run_deadlines` then decides how the call
+    /// continues.
+    pub(crate) phase_deadline: Time,
     pub(crate) attempts: Vec<Attempt>,
-    /// Misses for which no attempt outside the retry budget was made yet.
+    /// Number of attempts that it may still make outside the retry budget: one for each miss.
     pub(crate) uncharged_attempts: u32,
 }
 
 impl Call {
-    /// Number of attempts in flight.
+    /// Returns the number of attempts in flight.
     pub(crate) fn in_flight(&self) -> usize {
         self.attempts
             .iter()
@@ -73,19 +75,19 @@
             .count()
     }
 
-    /// The first attempt that may have been executed, or may yet be.
+    /// Returns the first attempt that may have been executed, or may still be.
     pub(crate) fn first_possibly_executed(&self) -> Option<&Attempt> {
         self.attempts
             .iter()
             .find(|attempt| attempt.state != AttemptState::NotExecuted)
     }
 
-    /// Whether it came in beyond its tenant's quota.
+    /// Returns whether it exceeded its tenant's quota when it arrived.
     pub(crate) fn is_over_quota(&self) -> bool {
-        self.over_quota > 0.0
+        self.over_quota_ratio > 0.0
     }
 
-    /// Its handle under this index.
+    /// Returns its handle for this index.
     pub(crate) fn handle(&self, index: CallIndex) -> CallHandle {
         CallHandle {
             index,
--- a/crates/policy/src/coalescing.rs
+++ b/crates/policy/src/coalescing.rs
@@ -1,4 +1,5 @@
-//! Coalescing: one fetch from the origin for each key; other reads of the key wait for it.
+//! Request coalescing: at most one fetch from the origin for each key; other reads of the key wait
+//! for it.
 use rustc_hash::FxHashMap;
 
 use crate::actions::PolicyActions;
@@ -8,20 +9,20 @@
 use crate::endpoint::ServerIndex;
 use crate::request::CallIndex;
 
-/// A fetch of a key from the origin.
+/// A fetch of a key from the origin, and the calls that wait for it.
 struct Fetch {
     leader: CallIndex,
     waiters: Vec<CallHandle>,
 }
 
-/// The fetches from the origin that calls wait for, by key.
+/// The fetches from the origin in progress, by key.
 #[derive(Default)]
 pub(crate) struct Coalescing {
     fetches: FxHashMap<u64, Fetch>,
 }
 
 impl Coalescing {
-    /// Lets a read wait if another call fetches its key; tells whether it waits.
+    /// Adds a read to the waiters if another call is fetching its key; returns whether it did.
     pub(crate) fn join(&mut self, index: CallIndex, call: &Call) -> bool {
         match self.fetches.get_mut(&call.key) {
             Some(fetch) if fetch.leader != index => {
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Begins a fetch that other reads of the key may wait for.
+    /// Registers a fetch that other reads of the key may wait for.
     pub(crate) fn begin(&mut self, leader: CallIndex, key: u64) {
         let fetch = Fetch {
             leader,
@@ -41,7 +42,7 @@
         self.fetches.insert(key, fetch);
     }
 
-    /// Ends a fetch and returns the calls that waited for it.
+    /// Removes a fetch and returns the calls that waited for it.
     pub(crate) fn finish(&mut self, key: u64) -> Vec<CallHandle> {
         self.fetches
             .remove(&key)
@@ -51,8 +52,8 @@
 }
 
 impl Balancer {
-    /// Lets a read wait for a fetch of its key, or else routes the call: to the origin after a
-    /// miss, else to a cache.
+    /// Lets a read wait for a fetch of its key that is in progress. Otherwise routes the call: to
+    /// the origin after a miss, else to a cache.
     pub(crate) fn coalesce_or_route(&mut self, index: CallIndex, actions: &mut impl PolicyActions) {
         let call = &self.calls[index.0];
         if !call.write && !self.is_nearly_expired(index) && self.coalescing.join(index, call) {
@@ -65,8 +66,8 @@
         }
     }
 
-    /// Routes the calls that waited for a fetch. Reads that missed go to the cache that has just
-    /// been given their object, if there is one.
+    /// Routes the calls that waited for a fetch. Reads that have missed go to `filled_cache`, the
+    /// cache that has just received their object, if there is one.
     pub(crate) fn release_waiters(
         &mut self,
         waiters: Vec<CallHandle>,
@@ -77,10 +78,10 @@
             let Some(call) = self.calls.get(waiter.index.0) else {
                 continue;
             };
-            let still_waits = call.serial == waiter.serial
+            let is_waiting = call.serial == waiter.serial
                 && !call.finished
                 && call.phase == CallPhase::AwaitingFetch;
-            if !still_waits {
+            if !is_waiting {
                 continue;
             }
             let sent = match filled_cache.filter(|_| call.missed) {
--- a/crates/policy/src/concurrency_limiter.rs
+++ b/crates/policy/src/concurrency_limiter.rs
@@ -1,39 +1,41 @@
-//! An adaptive limit on attempts in flight that follows answer times. Below a few slots it is also
-//! a rate limit.
+//! An adaptive limit on attempts in flight, adjusted by response times. A limit of less than a few
+//! slots also acts as a rate limit.
 use crate::time::Time;
 
-/// Attempts that may be saved up while the limit acts as a rate: misses often come in pairs.
-pub(crate) const MAX_SAVED_ATTEMPTS: f64 = 2.0;
-/// Slots by which one answer moves the limit at most.
+/// Largest burst while the limit acts as a rate, in attempts: misses often come in pairs. Limits
+/// below this number of slots act as a rate.
+pub(crate) const MAX_BURST_ATTEMPTS: f64 = 2.0;
+/// Largest change of the limit by one response, in slots.
 const MAX_STEP_SLOTS: f64 = 0.25;
-/// Part of the limit by which one answer moves it at most.
+/// Largest change of the limit by one response, as a fraction of the limit.
 const MAX_STEP_RATIO: f64 = 0.5;
-/// Time in which a limit below one slot doubles by itself, as its answers are too rare to raise it.
+/// Time in which a limit below one slot doubles by itself, as its responses are too rare to raise
+/// it.
 const RECOVERY_DOUBLING_SECONDS: f64 = 4.0;
 
-/// A limit on attempts in flight.
+/// A limit on attempts in flight, with a token bucket for limits that act as a rate.
 #[derive(Default)]
 pub(crate) struct ConcurrencyLimiter {
     pub(crate) in_flight: u32,
-    /// Attempts that may be in flight; below one it acts as a rate.
+    /// Attempts that may be in flight, in slots; below `MAX_BURST_ATTEMPTS` it also acts as a rate.
     pub(crate) limit: f64,
     pub(crate) min_limit: f64,
-    /// Up to where the limit grows while nothing waits for a slot.
+    /// Limit up to which successes raise it while no call waits for a slot.
     pub(crate) max_unsaturated_limit: f64,
-    /// The answer time that the limit steers for.
+    /// Response time that the limit is adjusted for, in microseconds.
     pub(crate) target_micros: f64,
-    /// Time on the network path as a multiple of the answer time; attempts underway there take no
+    /// Delay of the network path as a multiple of the response time; attempts delayed there take no
     /// slot.
     pub(crate) path_delay_ratio: f64,
-    /// A call waited for a slot, or got none, since the last answer.
+    /// Whether a call has waited for a slot, or got none, since the last response.
     pub(crate) saturated: bool,
-    pub(crate) saved_attempts: f64,
-    saved_at: Time,
+    pub(crate) burst_tokens: f64,
+    tokens_updated: Time,
 }
 
 impl ConcurrencyLimiter {
-    /// A limiter with this many slots and nothing saved up, which grows little until calls wait for
-    /// it.
+    /// Returns a limiter with this many slots and no burst tokens, whose limit grows little until
+    /// calls wait for a slot.
     pub(crate) fn new(
         limit: f64,
         min_limit: f64,
@@ -43,57 +45,57 @@
         ConcurrencyLimiter {
             limit,
             min_limit,
-            max_unsaturated_limit: MAX_SAVED_ATTEMPTS,
+            max_unsaturated_limit: MAX_BURST_ATTEMPTS,
             target_micros,
-            saved_at: now,
+            tokens_updated: now,
             ..ConcurrencyLimiter::default()
         }
     }
 
-    /// Whether an attempt may start now. A small limit is a rate, too: each of hundreds of nodes
-    /// has less than a slot.
+    /// Returns whether an attempt may start now. A small limit also acts as a rate, since each of
+    /// hundreds of nodes has less than one slot.
     pub(crate) fn has_capacity(&self, now: Time) -> bool {
         let slots = (self.limit * (1.0 + self.path_delay_ratio)).floor();
-        let acts_as_rate = self.limit < MAX_SAVED_ATTEMPTS;
-        f64::from(self.in_flight) < slots || acts_as_rate && self.saved_attempts_at(now) >= 1.0
+        let acts_as_rate = self.limit < MAX_BURST_ATTEMPTS;
+        f64::from(self.in_flight) < slots || acts_as_rate && self.burst_tokens_at(now) >= 1.0
     }
 
-    fn saved_attempts_at(&self, now: Time) -> f64 {
-        let earned = (now - self.saved_at).0 as f64 * self.limit / self.target_micros;
-        (self.saved_attempts + earned).min(MAX_SAVED_ATTEMPTS)
+    fn burst_tokens_at(&self, now: Time) -> f64 {
+        let earned = (now - self.tokens_updated).0 as f64 * self.limit / self.target_micros;
+        (self.burst_tokens + earned).min(MAX_BURST_ATTEMPTS)
     }
 
     /// Takes a slot for an attempt that starts now.
     pub(crate) fn acquire(&mut self, now: Time) {
         self.in_flight += 1;
-        self.saved_attempts = (self.saved_attempts_at(now) - 1.0).max(0.0);
-        self.saved_at = now;
+        self.burst_tokens = (self.burst_tokens_at(now) - 1.0).max(0.0);
+        self.tokens_updated = now;
     }
 
-    /// Gives a slot back.
+    /// Releases the slot of an attempt that has ended.
     pub(crate) fn release(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Moves the limit by what an answer left of its target time, as a part of it; below zero if it
-    /// took longer or was lost.
-    pub(crate) fn record_answer(&mut self, spare_ratio: f64) {
+    /// Adjusts the limit by `spare_ratio`, the fraction of the target time that a response left
+    /// unused; it is negative if the response took longer or was lost.
+    pub(crate) fn record_response(&mut self, spare_ratio: f64) {
         if spare_ratio < 0.0 || self.saturated || self.limit < self.max_unsaturated_limit {
             let step = MAX_STEP_SLOTS.min(MAX_STEP_RATIO * self.limit);
             self.limit = (self.limit + step * spare_ratio.max(-1.0)).max(self.min_limit);
         }
     }
 
-    /// Guards against servers that slow down at once: late attempts count before their answers
-    /// come.
-    pub(crate) fn record_late(&mut self, now: Time) {
-        self.record_answer(-1.0);
-        self.saved_attempts = 0.0;
-        self.saved_at = now;
+    /// Records an attempt that is overdue: it lowers the limit before its response arrives.
+    /// Otherwise the limit would follow too late when a server slows down suddenly.
+    pub(crate) fn record_overdue(&mut self, now: Time) {
+        self.record_response(-1.0);
+        self.burst_tokens = 0.0;
+        self.tokens_updated = now;
     }
 
-    /// Raises a limit below one slot. Bounded, so that the limits of all nodes do not grow while
-    /// idle and are spent at once.
+    /// Raises a limit below one slot by itself. The limit stays bounded: otherwise the limits of
+    /// all nodes would grow while idle and then be used up all at once.
     pub(crate) fn recover(&mut self, elapsed_seconds: f64) {
         if self.limit < self.max_unsaturated_limit.min(1.0) {
             self.limit *= 1.0 + elapsed_seconds / RECOVERY_DOUBLING_SECONDS;
--- a/crates/policy/src/config.rs
+++ b/crates/policy/src/config.rs
@@ -1,55 +1,56 @@
-//! The policy's configuration: products, quotas, what the deployment permits and the figures of its
-//! rules.
+//! The policy's configuration: products, quotas, what the deployment permits and the parameters of
+//! its rules.
 //!
-//! The program that embeds the policy reads its settings once and fills this in; the policy itself
-//! knows no file format and no setting's name.
+//! The program that embeds the policy fills it in from its own settings; the policy itself knows no
+//! file format and no names of settings.
 use crate::time::Span;
 
-/// Whether an API call may run again.
+/// Whether an API call may be executed more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May run any number of times.
+    /// May be executed any number of times.
     Idempotent,
-    /// Servers drop repeats within the product's window and scope.
+    /// Servers discard repeated executions within the product's window and scope.
     Deduplicated,
-    /// Must not run twice.
+    /// Must not be executed twice.
     NonIdempotent,
 }
 
-/// Which servers drop repeats of a deduplicated API call.
+/// Which servers discard repeats of a deduplicated API call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupScope {
-    /// Every server knows of every attempt.
+    /// Every server knows every attempt.
     All,
-    /// Servers of one zone know of each other's attempts.
+    /// Servers of one zone know each other's attempts.
     Zone,
-    /// Servers of one cell know of each other's attempts.
+    /// Servers of one cell know each other's attempts.
     Cell,
-    /// Each server knows of its own attempts only.
+    /// Each server knows only its own attempts.
     One,
 }
 
 /// A class of API calls with the same objectives and rules.
 #[derive(Debug, Clone, Copy)]
 pub struct Product {
-    /// Answers within this time have their full value.
+    /// Responses within this time have their full value.
     pub latency_objective: Span,
-    /// When the client gives up.
+    /// Time after which the client gives up.
     pub client_timeout: Span,
-    /// What an answer in time is worth, relative to other products.
+    /// Value of a response in time, relative to other products.
     pub priority_weight: f64,
-    /// Part of the weight that an answer after the objective still has.
+    /// Fraction of the weight that a response after the objective still has.
     pub late_priority_weight: f64,
-    /// Whether its calls may run again.
+    /// Whether its calls may be executed more than once.
     pub idempotency: Idempotency,
-    /// Where repeats of a deduplicated call are dropped.
+    /// Which servers discard repeats of a deduplicated call.
     pub dedup_scope: DedupScope,
-    /// For how long repeats of a deduplicated call are dropped.
+    /// How long repeats of a deduplicated call are discarded.
     pub dedup_window: Span,
 }
 
 impl Product {
-    /// Stands for a product that the settings do not name: it never runs twice and has no weight.
+    /// Returns the stand-in for products that the settings do not name: its calls are never
+    /// executed twice and have no weight.
     pub fn unknown(latency_objective: Span) -> Product {
         Product {
             latency_objective,
@@ -69,23 +70,23 @@
     }
 }
 
-/// A limit on attempts beyond each API call's first in any window of time.
+/// A limit on attempts beyond each API call's first, over a sliding window.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RetryBudgetConfig {
-    /// Length of the window; zero where there is no limit.
+    /// Length of the window; zero if there is no limit.
     pub window: Span,
-    /// Additional attempts that are always allowed in a window.
+    /// Additional attempts that are always allowed within a window.
     pub free: f64,
-    /// Additional attempts for each API call taken in the window.
+    /// Additional attempts allowed for each API call received within the window.
     pub ratio: f64,
 }
 
-/// What a server that has just started can bear.
+/// The load that a recently started server can bear.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowStartConfig {
-    /// Part of its full share at the start, from 0 to 1.
+    /// Fraction of its full load that it can bear at the start, from 0 to 1.
     pub initial_share: f64,
-    /// Time until it can bear its full share.
+    /// Time until it can bear its full load.
     pub duration: Span,
 }
 
@@ -98,12 +99,12 @@
     }
 }
 
-/// How changes of the endpoint list reach the node.
+/// How updates of the endpoint list reach the node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndpointListConfig {
-    /// Changes have to be polled for; else they are pushed.
+    /// Whether the node has to poll for updates; otherwise they are pushed.
     pub polled: bool,
-    /// Within what time they have to be polled for.
+    /// Time within which the node has to poll.
     pub poll_within: Span,
 }
 
@@ -116,47 +117,48 @@
     }
 }
 
-/// Everything that the policy is configured with.
+/// The configuration of the policy.
 #[derive(Debug, Clone)]
 pub struct PolicyConfig {
     /// Products by their index in the settings.
     pub products: Vec<Product>,
-    /// Quotas of tenants by their index in the settings: API calls a second over all nodes.
+    /// Quotas of tenants by their index in the settings, in API calls per second over all nodes.
     pub tenant_quotas: Vec<f64>,
     /// Number of nodes, at least 1.
     pub nodes: f64,
-    /// Caches answer misses and the node fetches from the origin itself.
+    /// Whether caches respond with misses and the node itself fetches from the origin
+    /// (cache-aside).
     pub cache_aside: bool,
-    /// The machine kind of origin servers, by its index in the settings.
+    /// Machine kind of origin servers, by its index in the settings.
     pub origin_kind: Option<u32>,
-    /// The longest Retry-After that a rejection may name; none where rejections carry no time.
+    /// Longest Retry-After that a rejection may state; `None` if rejections state none.
     pub max_retry_after: Option<Span>,
-    /// Most attempts for an API call, the first included.
+    /// Largest number of attempts for an API call, including the first.
     pub max_attempts: usize,
-    /// Two attempts for one API call may be in flight at once.
+    /// Whether two attempts of one API call may be in flight at once.
     pub may_duplicate: bool,
-    /// An attempt in flight may be cancelled.
+    /// Whether an attempt in flight may be cancelled.
     pub may_cancel: bool,
-    /// A limit on additional attempts.
+    /// Limit on additional attempts.
     pub retry_budget: RetryBudgetConfig,
-    /// What a server that has just started can bear.
+    /// The load that a recently started server can bear.
     pub slow_start: SlowStartConfig,
-    /// How long a server keeps an idle connection open, where the settings say.
+    /// How long a server keeps an idle connection open; `None` if the settings do not state it.
     pub keepalive: Option<Span>,
-    /// How changes of the endpoint list arrive.
+    /// How updates of the endpoint list reach the node.
     pub endpoint_list: EndpointListConfig,
-    /// A server that the list drops without having drained may still be used.
+    /// Whether a server that was delisted without having drained may still be used.
     pub dropped_endpoints_stay_usable: bool,
-    /// A late answer counts against its key as an error does.
-    pub late_answers_count_against_keys: bool,
-    /// How far a client's remaining time may be off, as clocks differ.
+    /// Whether a late response counts as a failure of its key.
+    pub late_responses_count_against_keys: bool,
+    /// Largest error of a client's stated remaining time, as clocks differ.
     pub deadline_drift: Span,
-    /// How far the start times in the endpoint list may be off.
+    /// Largest error of the start times in the endpoint list.
     pub start_time_skew: Span,
 }
 
 impl Default for PolicyConfig {
-    /// The safe reading: no duplicates, no cancelling, no Retry-After, one attempt.
+    /// The safe defaults: no duplicates, no cancelling, no Retry-After, one attempt.
     fn default() -> PolicyConfig {
         PolicyConfig {
             products: Vec::new(),
@@ -173,7 +175,7 @@
             keepalive: None,
             endpoint_list: EndpointListConfig::default(),
             dropped_endpoints_stay_usable: false,
-            late_answers_count_against_keys: false,
+            late_responses_count_against_keys: false,
             deadline_drift: Span::ZERO,
             start_time_skew: Span::ZERO,
         }
--- a/crates/policy/src/deadlines.rs
+++ b/crates/policy/src/deadlines.rs
@@ -1,4 +1,4 @@
-//! Calls that wait with nothing sent, and everything that falls due.
+//! Deadlines of calls: calls that wait with no attempt in flight, and attempts that become overdue.
 use std::collections::BTreeSet;
 
 use crate::actions::PolicyActions;
@@ -8,30 +8,32 @@
 use crate::time::{Span, Time};
 use crate::timer::TICK_INTERVAL;
 
-/// Part of its latency objective that a call may wait with nothing sent.
+/// Fraction of its latency objective that a call may wait with no attempt in flight.
 pub(crate) const MAX_QUEUEING_RATIO: f64 = 0.5;
-/// Ticks before its client's timeout from which a call is nearly expired.
+/// Time before its client's timeout from which a call is nearly expired, in ticks.
 const NEARLY_EXPIRED_TICKS: f64 = 2.0;
-/// Part of a tick after which a deadline is due at the earliest.
+/// Least time until a deadline, as a fraction of a tick.
 const MIN_DEADLINE_TICKS: f64 = 0.25;
 
-/// A moment at which a call is looked at.
+/// A time at which a call's phase is checked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Deadline {
     at: Time,
     call: CallHandle,
 }
 
-/// Deadlines in the order of time; also those of calls that have another by now.
+/// Deadlines in the order of time. Superseded deadlines remain until they are due, and are then
+/// ignored.
 pub(crate) type DeadlineQueue = BTreeSet<Deadline>;
 
 impl Balancer {
-    /// Guards against a call that waits and would be looked at only after its client's timeout.
+    /// Returns whether a call's client is about to time out. Such a call must not wait: it would be
+    /// checked again only after the client's timeout.
     pub(crate) fn is_nearly_expired(&self, index: CallIndex) -> bool {
-        self.calls[index.0].expires < self.now + TICK_INTERVAL.times(NEARLY_EXPIRED_TICKS)
+        self.calls[index.0].client_deadline < self.now + TICK_INTERVAL.times(NEARLY_EXPIRED_TICKS)
     }
 
-    /// Lets a call wait with nothing sent until a part of its latency objective is gone.
+    /// Lets a call wait with no attempt in flight for a fraction of its latency objective.
     pub(crate) fn park(
         &mut self,
         index: CallIndex,
@@ -43,30 +45,33 @@
             return self.give_up(index, actions);
         }
         let call = &self.calls[index.0];
-        let time_left = call.product.latency_objective.min(call.expires - self.now);
+        let time_left = call
+            .product
+            .latency_objective
+            .min(call.client_deadline - self.now);
         let path_delay = Span(self.origin.path_delay_micros as i64);
-        let wait = time_left.times(MAX_QUEUEING_RATIO) + path_delay;
-        let longest = Span(time_left.0 - TICK_INTERVAL.0);
-        self.set_deadline(index, self.now + wait.min(longest));
+        let delay = time_left.times(MAX_QUEUEING_RATIO) + path_delay;
+        let max_delay = Span(time_left.0 - TICK_INTERVAL.0);
+        self.set_deadline(index, self.now + delay.min(max_delay));
     }
 
-    /// Sets when to look at a call next. Guards against a moment in the past, which would fall due
-    /// for ever within one event.
+    /// Sets the deadline of a call's current phase. A deadline in the past is moved to the near
+    /// future: otherwise it could be due again and again within one event.
     pub(crate) fn set_deadline(&mut self, index: CallIndex, at: Time) {
         let at = at.max(self.now + TICK_INTERVAL.times(MIN_DEADLINE_TICKS));
         let call = &mut self.calls[index.0];
-        call.deadline = at;
+        call.phase_deadline = at;
         let call = call.handle(index);
         self.deadlines.insert(Deadline { at, call });
     }
 
-    /// Looks at all calls that are due.
+    /// Handles all calls whose deadline has passed.
     pub(crate) fn run_deadlines(&mut self, actions: &mut impl PolicyActions) {
-        while let Some(deadline) = self.take_due() {
+        while let Some(deadline) = self.pop_due() {
             let index = deadline.call.index;
             let is_current = self.calls.get(index.0).is_some_and(|call| {
                 call.serial == deadline.call.serial
-                    && call.deadline == deadline.at
+                    && call.phase_deadline == deadline.at
                     && call.live
                     && !call.finished
             });
@@ -84,7 +89,7 @@
         }
     }
 
-    fn take_due(&mut self) -> Option<Deadline> {
+    fn pop_due(&mut self) -> Option<Deadline> {
         let first = self.deadlines.first()?;
         if first.at > self.now {
             return None;
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: the only place from which attempts are sent.
+//! Dispatch: the only place that sends attempts.
 use crate::actions::PolicyActions;
 use crate::attempt::{Attempt, AttemptCause};
 use crate::balancer::Balancer;
@@ -10,7 +10,7 @@
 use crate::time::Span;
 
 impl Balancer {
-    /// Sends an attempt if rules 1 to 3 and the retry policy permit it; tells whether it did.
+    /// Sends an attempt if rules 1 to 3 and the retry policy permit it; returns whether it did.
     pub(crate) fn send_attempt(
         &mut self,
         index: CallIndex,
@@ -39,7 +39,7 @@
         }
         call.attempts.push(attempt);
         call.phase = CallPhase::InFlight;
-        actions.dispatch(index, target, call.expires, write_by);
+        actions.dispatch(index, target, call.client_deadline, write_by);
         if call.attempts.len() == 1 {
             self.hedge_tokens.earn();
         }
@@ -48,7 +48,8 @@
         true
     }
 
-    /// Whether rules 1 to 3 and the retry policy permit an attempt of this call at this server.
+    /// Returns whether rules 1 to 3 and the retry policy permit an attempt of this call at this
+    /// server.
     fn permits(&self, index: CallIndex, target: ServerIndex) -> bool {
         let call = &self.calls[index.0];
         rules::may_be_sent(call, self.now)
@@ -57,7 +58,7 @@
             && self.retry_policy.permits_attempt(call, self.now)
     }
 
-    /// Time after which an attempt of this call at this server is overdue.
+    /// Returns the time after which an attempt of this call at this server is overdue.
     fn overdue_after(&self, index: CallIndex, target: ServerIndex) -> Span {
         let call = &self.calls[index.0];
         let latency_objective = call.product.latency_objective;
--- a/crates/policy/src/endpoint.rs
+++ b/crates/policy/src/endpoint.rs
@@ -1,7 +1,8 @@
-//! Servers as the endpoint list names them.
+//! Servers as described by the endpoint list.
 use crate::time::Time;
 
-/// A server's index, given out by the caller; free again after `PolicyActions::release_server`.
+/// A server's index, assigned by the caller; it may be reused after
+/// `PolicyActions::release_server`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct ServerIndex(pub usize);
 
@@ -10,7 +11,7 @@
 pub enum EndpointState {
     /// In service.
     Ready,
-    /// Finishes what it has and gets nothing new.
+    /// Completes its attempts in flight and accepts no new ones.
     Draining,
     /// Not running, or not in the list.
     #[default]
@@ -18,9 +19,9 @@
 }
 
 impl EndpointState {
-    /// The state of a server that the list calls gone, or leaves out. Where only draining binds,
-    /// that alone does not end the use of one that was in service: such a list proves nothing of
-    /// what runs.
+    /// Returns the state of a server after an update of the list marks it as gone or omits it. If
+    /// delisted servers stay usable, a server that was in service remains so: such a list does not
+    /// prove that the server has stopped. Only draining ends its use.
     pub fn after_removal(self, dropped_endpoints_stay_usable: bool) -> EndpointState {
         match self {
             EndpointState::Ready if dropped_endpoints_stay_usable => EndpointState::Ready,
@@ -32,13 +33,13 @@
 /// One entry of the endpoint list.
 #[derive(Debug, Clone, Copy)]
 pub struct Endpoint<'a> {
-    /// Its index.
+    /// The server's index.
     pub server: ServerIndex,
-    /// Its id in the list.
+    /// The server's id in the list.
     pub name: &'a str,
-    /// The zone's index in the settings; beyond them if unknown.
+    /// The zone's index in the settings; out of their range if unknown.
     pub zone: u32,
-    /// The machine kind's index in the settings; beyond them if unknown.
+    /// The machine kind's index in the settings; out of their range if unknown.
     pub kind: u32,
     /// Its cell.
     pub cell: u32,
@@ -46,6 +47,6 @@
     pub state: EndpointState,
     /// Its capacity relative to others.
     pub scale: f64,
-    /// When it started, if the list says.
+    /// When it started, if the list states it.
     pub started: Option<Time>,
 }
--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: what its updates change.
+//! Handling of updates of the endpoint list.
 use crate::actions::PolicyActions;
 use crate::balancer::Balancer;
 use crate::endpoint::{Endpoint, EndpointState, ServerIndex};
@@ -7,7 +7,7 @@
 use crate::time::{Span, Time};
 use crate::timer::TICK_INTERVAL;
 
-/// Whether an update names ready servers of a role, and any that was known before.
+/// Whether an update lists ready servers of a role, and whether any of them was known before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 enum FleetChange {
     #[default]
@@ -26,7 +26,7 @@
     }
 }
 
-/// What an update changes for the servers of each role.
+/// The changes that an update makes to the servers of each role.
 #[derive(Default)]
 struct FleetChanges {
     caches: FleetChange,
@@ -34,7 +34,7 @@
 }
 
 impl FleetChanges {
-    fn of_role(&mut self, is_origin: bool) -> &mut FleetChange {
+    fn for_role(&mut self, is_origin: bool) -> &mut FleetChange {
         if is_origin {
             &mut self.origins
         } else {
@@ -43,18 +43,19 @@
     }
 }
 
-/// A removal from the endpoint list, as far as it is believed.
+/// How a removal from the endpoint list applies to a server.
 #[derive(Debug, Clone, Copy)]
 struct Removal {
-    /// A server that the list drops without having drained may still be used.
+    /// Whether a server that was delisted without having drained may still be used.
     stays_usable: bool,
-    /// Success ratio of the servers dropped before, by which a server's own evidence is cut.
+    /// Success ratio of servers delisted earlier; the good outcomes of a newly delisted server are
+    /// multiplied by it.
     evidence_kept_ratio: f64,
     now: Time,
 }
 
 impl Balancer {
-    /// The node starts; to be called once, before anything else.
+    /// Starts the balancer; must be called once, before any other event.
     pub fn start(&mut self, now: Time, actions: &mut impl PolicyActions) {
         self.now = now;
         self.last_tick = now;
@@ -63,13 +64,14 @@
         actions.set_timer(TICK_INTERVAL);
     }
 
-    /// A poll for the endpoint list failed, or no changes will come any more; the list as it is
-    /// known stays.
+    /// Handles a failed poll for the endpoint list, or the end of its subscription. The list as
+    /// last received remains in use.
     pub fn on_endpoint_list_failed(&mut self, now: Time) {
         self.endpoint_list.record_failure(now, &mut self.rng);
     }
 
-    /// An update of the endpoint list. `complete`: what it does not name is gone.
+    /// Handles an update of the endpoint list. If it is `complete`, servers that it does not list
+    /// are gone.
     pub fn on_endpoint_list<'a>(
         &mut self,
         now: Time,
@@ -96,7 +98,7 @@
             if endpoint.state == EndpointState::Ready {
                 let known = self.servers.get(endpoint.server.0);
                 let is_known = known.is_some_and(Server::is_known);
-                changes.of_role(is_origin).observe(is_known);
+                changes.for_role(is_origin).observe(is_known);
             }
             self.update_server(&endpoint, is_origin, removal);
         }
@@ -110,8 +112,8 @@
         self.send_queued(actions);
     }
 
-    /// Guards against estimates of servers that are all others now: after a move the traffic is
-    /// what stays the same.
+    /// Resets the estimates about a role if all of its servers are new: after a migration to other
+    /// servers only the traffic stays the same.
     fn reset_new_fleets(&mut self, changes: &FleetChanges) {
         if changes.origins == FleetChange::AllNew {
             self.origin.reset(self.nodes);
@@ -125,21 +127,23 @@
         let table_size = self.servers.len().max(endpoint.server.0 + 1);
         self.servers.resize_with(table_size, Server::unknown);
         let server = &mut self.servers[endpoint.server.0];
-        // Guards against an old list that comes again: a process is never older than it was.
+        // A stale list may be received again, but a process never gets an earlier start time.
         let restarted = server.started < endpoint.started;
         if restarted || endpoint.state != EndpointState::Ready {
-            // Guards against taking a dead cache for a full one.
+            // A server that has restarted or stopped refused connections for that reason, not
+            // because it was full.
             let refused = std::mem::take(&mut server.refused_connections);
             self.idle_connections.forget_refused(refused);
         }
-        // One that comes back keeps its moving average; only one never seen gets a new one.
+        // A known server that returns keeps its moving average; only an unknown server gets a new
+        // one.
         if !server.is_known() {
             let position = unit_position(hash(endpoint.name));
             server.initial_position = Some(position);
             server.moving_average = position;
         }
         if restarted {
-            // Drawn, so that of hundreds of nodes some use it at once.
+            // Random, so that out of hundreds of nodes some use it immediately.
             let credit = self.rng.unit();
             server.restart(endpoint.started, credit, self.start_time_skew, self.now);
         }
@@ -160,7 +164,7 @@
         };
     }
 
-    /// Collects the ready servers by their role.
+    /// Sorts the ready servers into caches and origins.
     fn collect_ready(&mut self) {
         let servers = &self.servers;
         let (origins, caches) = (0..servers.len())
@@ -173,8 +177,9 @@
 }
 
 impl Server {
-    /// The endpoint list calls it gone. Guards against lists that are wrong, cut short, empty or
-    /// old: where only draining binds it stays usable, and its answers tell whether it runs.
+    /// Records that the endpoint list marks the server as gone or omits it. Lists may be wrong,
+    /// truncated, empty or stale: if delisted servers stay usable, its responses show whether it
+    /// still runs.
     fn delist(&mut self, removal: Removal) {
         self.state = self.state.after_removal(removal.stays_usable);
         if self.delisted_since.is_none() {
@@ -185,14 +190,14 @@
         }
     }
 
-    /// Its process is another one: what was learnt of the former says nothing.
+    /// Resets what was learnt about the server, which does not apply to its new process.
     fn restart(&mut self, started: Option<Time>, credit: f64, start_time_skew: Span, now: Time) {
         self.evidence = Default::default();
         self.silent_since = None;
         self.capacity = f64::INFINITY;
         self.slow_start_credit = credit;
         self.credit_updated = now;
-        // Guards against clocks that differ: it has started before it is first named here.
+        // Clocks may differ, but the server has started before this node first sees it in the list.
         self.slow_start_from = started.map(|at| at.max(now.min(at + start_time_skew)));
     }
 }
--- a/crates/policy/src/endpoint_list_poller.rs
+++ b/crates/policy/src/endpoint_list_poller.rs
@@ -1,23 +1,23 @@
-//! When to poll for the endpoint list, where its changes are not pushed.
+//! Schedules polls for the endpoint list if its updates are not pushed.
 use crate::actions::PolicyActions;
 use crate::config::EndpointListConfig;
 use crate::pcg::Pcg;
 use crate::time::Time;
 
-/// Part of the time within which to poll over which nodes are spread.
+/// Fraction of `poll_within` over which the nodes' polls are spread.
 const SPREAD_RATIO: f64 = 0.5;
-/// Factor of that time for each failure in a row.
+/// Factor by which that time grows with each failure in a row.
 const BACKOFF_FACTOR: f64 = 2.0;
-/// Failures after which it grows no further.
+/// Failures in a row after which the delay grows no further.
 const MAX_BACKOFF_FAILURES: u32 = 2;
 
-/// Polls for changes of the endpoint list until they are pushed, and again when the subscription
-/// breaks.
+/// Polls for the endpoint list until updates are pushed, and again after the subscription has
+/// failed.
 #[derive(Default)]
 pub(crate) struct EndpointListPoller {
     pub(crate) config: EndpointListConfig,
     polled: bool,
-    /// Changes are pushed.
+    /// Whether updates are pushed.
     subscribed: bool,
     next_poll: Time,
     /// Failures in a row.
@@ -25,28 +25,29 @@
 }
 
 impl EndpointListPoller {
-    /// Begins to poll, where that is needed.
+    /// Schedules the first poll, if the node has to poll.
     pub(crate) fn start(&mut self, now: Time, rng: &mut Pcg) {
         if self.config.polled {
             self.schedule(now, rng);
         }
     }
 
-    /// Guards against a list service that answers few at a time: nodes that start or lose their
-    /// subscription at one moment poll spread out, with exponential backoff.
+    /// Schedules the next poll at random with exponential backoff: nodes that start or lose their
+    /// subscription at the same time would otherwise overload a discovery service that can answer
+    /// few at a time.
     fn schedule(&mut self, now: Time, rng: &mut Pcg) {
         let backoff = BACKOFF_FACTOR.powi(self.failures.min(MAX_BACKOFF_FAILURES) as i32);
         let delay_ratio = SPREAD_RATIO * backoff * rng.unit();
         self.next_poll = now + self.config.poll_within.times(delay_ratio);
     }
 
-    /// An update came: the first after a poll tells that changes will be pushed.
+    /// Records an update: the first one after a poll confirms the subscription.
     pub(crate) fn record_update(&mut self) {
         self.subscribed = self.polled;
         self.failures = 0;
     }
 
-    /// A poll failed, or the subscription broke; which one is not known.
+    /// Records a failed poll or a lost subscription; the caller does not distinguish them.
     pub(crate) fn record_failure(&mut self, now: Time, rng: &mut Pcg) {
         self.polled = false;
         self.subscribed = false;
@@ -54,7 +55,7 @@
         self.schedule(now, rng);
     }
 
-    /// Polls if it is time to.
+    /// Polls if a poll is due.
     pub(crate) fn tick(&mut self, now: Time, actions: &mut impl PolicyActions) {
         if self.config.polled && !self.subscribed && now >= self.next_poll {
             self.polled = true;
--- a/crates/policy/src/evidence.rs
+++ b/crates/policy/src/evidence.rs
@@ -1,9 +1,9 @@
 //! Counts of good and bad outcomes, from which success ratios are estimated.
 
-/// Outcomes that a record weighs at most, so that old ones give way to new ones.
+/// Largest total weight of a record, in outcomes, so that new outcomes replace old ones.
 pub(crate) const MAX_EVIDENCE: f64 = 20.0;
 
-/// Weighted counts of good and bad outcomes; they lose weight as they grow old.
+/// Weighted counts of good and bad outcomes; their weight decays over time.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Evidence {
     pub(crate) good: f64,
@@ -11,7 +11,7 @@
 }
 
 impl Evidence {
-    /// Counts one outcome.
+    /// Records one outcome.
     pub(crate) fn record(&mut self, good: bool) {
         if good {
             self.good += 1.0;
@@ -20,19 +20,19 @@
         }
     }
 
-    /// Keeps this part of the weight of both counts.
+    /// Multiplies both counts by `kept_ratio`.
     pub(crate) fn decay(&mut self, kept_ratio: f64) {
         self.good *= kept_ratio;
         self.bad *= kept_ratio;
     }
 
-    /// Weight of all outcomes.
+    /// Returns the total weight of all outcomes.
     pub(crate) fn total(&self) -> f64 {
         self.good + self.bad
     }
 
-    /// The success ratio, with `prior_weight` outcomes of the ratio `prior` weighed against few of
-    /// its own.
+    /// Returns the success ratio, combined with `prior_weight` assumed outcomes with the success
+    /// ratio `prior`, which dominate while there are few outcomes.
     pub(crate) fn success_ratio(&self, prior: f64, prior_weight: f64) -> f64 {
         (self.good + prior_weight * prior) / (self.good + self.bad + prior_weight)
     }
--- a/crates/policy/src/finish.rs
+++ b/crates/policy/src/finish.rs
@@ -1,4 +1,4 @@
-//! How a call goes on after a failed attempt, its final answer, and what that gives back.
+//! Retries after failed attempts, final responses, and the release of a call's resources.
 use crate::actions::PolicyActions;
 use crate::attempt::AttemptState;
 use crate::balancer::Balancer;
@@ -7,19 +7,20 @@
 use crate::request::CallIndex;
 use crate::rules;
 
-/// Part of the longest Retry-After that is named at least; the rest is drawn, so that clients come
-/// back spread out.
+/// Least Retry-After, as a fraction of the longest one; the rest is random, so that clients'
+/// retries are spread out.
 const MIN_RETRY_AFTER_RATIO: f64 = 0.5;
 
 impl Balancer {
-    /// After an attempt ended without the final answer: makes another, waits for those in flight,
-    /// or gives up.
+    /// Continues a call after an attempt ended without the final response: makes another attempt,
+    /// waits for those in flight, or gives up.
     pub(crate) fn retry_or_finish(&mut self, index: CallIndex, actions: &mut impl PolicyActions) {
         let call = &self.calls[index.0];
         let others_in_flight = call.in_flight() > 0;
         let may_retry = self.retry_policy.permits_additional(call, self.now)
             && (self.retry_policy.may_duplicate || !others_in_flight);
-        // Guards against fetching twice: a hedge may be at the origin already when a cache misses.
+        // A hedged request may already be at the origin when a cache misses; a second fetch would
+        // be redundant.
         let is_fetching = call.leads_fetch
             || call
                 .attempts
@@ -29,15 +30,16 @@
         if call.phase != CallPhase::InFlight || waits_for_others {
             return;
         }
-        let is_hopeless = !call.missed && self.key_health.is_limited(call.key);
-        if may_retry && !is_hopeless && self.now < call.expires {
+        let key_fails_everywhere = !call.missed && self.key_health.is_limited(call.key);
+        if may_retry && !key_fails_everywhere && self.now < call.client_deadline {
             self.coalesce_or_route(index, actions);
         } else {
             self.give_up(index, actions);
         }
     }
 
-    /// Gives the final answer: rejected with a Retry-After where rule 2 permits it, else an error.
+    /// Gives the final response: a rejection with a Retry-After if rule 2 permits it, otherwise an
+    /// error.
     pub(crate) fn give_up(&mut self, index: CallIndex, actions: &mut impl PolicyActions) {
         let call = &self.calls[index.0];
         if call.finished {
@@ -45,19 +47,25 @@
         }
         if rules::may_be_rejected(call, self.now) {
             let safe_window = rules::safe_retry_window(call, self.now);
-            let longest = call.product.client_timeout.min(safe_window);
-            let longest = self.max_retry_after.map(|permitted| permitted.min(longest));
-            let drawn_ratio =
+            let max_delay = call.product.client_timeout.min(safe_window);
+            let max_delay = self
+                .max_retry_after
+                .map(|permitted| permitted.min(max_delay));
+            let random_ratio =
                 MIN_RETRY_AFTER_RATIO + (1.0 - MIN_RETRY_AFTER_RATIO) * self.rng.unit();
-            actions.rate_limit(index, longest.map(|longest| longest.times(drawn_ratio)));
+            actions.rate_limit(
+                index,
+                max_delay.map(|max_delay| max_delay.times(random_ratio)),
+            );
         } else {
             actions.fail(index);
         }
         self.finish(index, None, actions);
     }
 
-    /// Closes a call that has its final answer: cancels what is in flight and releases the reads
-    /// that waited for its fetch. `filled_cache` has just been given the object.
+    /// Closes a call that has its final response: cancels its attempts in flight and releases the
+    /// reads that waited for its fetch. `filled_cache` is the cache that has just received the
+    /// object, if any.
     pub(crate) fn finish(
         &mut self,
         index: CallIndex,
@@ -83,8 +91,8 @@
         }
     }
 
-    /// The cache that was given the object of a fetched read: the one that missed, not one that
-    /// broke.
+    /// Returns the cache that received the object of a fetched read: the one that missed, not one
+    /// that reset the connection.
     pub(crate) fn filled_cache(&self, index: CallIndex) -> Option<ServerIndex> {
         self.calls[index.0]
             .attempts
@@ -96,7 +104,7 @@
             .map(|attempt| attempt.server)
     }
 
-    /// Cancels the attempts in flight, where that is permitted, `except` one.
+    /// Cancels all attempts in flight except `except`, if cancelling is permitted.
     pub(crate) fn cancel_attempts(
         &mut self,
         index: CallIndex,
@@ -106,15 +114,15 @@
         if !self.retry_policy.may_cancel {
             return;
         }
-        for (number, attempt) in self.calls[index.0].attempts.iter_mut().enumerate() {
-            if attempt.is_in_flight() && Some(number) != except {
-                actions.cancel(index, number);
+        for (attempt_index, attempt) in self.calls[index.0].attempts.iter_mut().enumerate() {
+            if attempt.is_in_flight() && Some(attempt_index) != except {
+                actions.cancel(index, attempt_index);
                 self.cache_load.remove(attempt);
             }
         }
     }
 
-    /// Releases a call of which nothing is in flight any more.
+    /// Releases a call that has no attempts in flight any more.
     pub(crate) fn release_if_done(&mut self, index: CallIndex, actions: &mut impl PolicyActions) {
         let call = &mut self.calls[index.0];
         if !call.live || call.in_flight() > 0 {
--- a/crates/policy/src/hash.rs
+++ b/crates/policy/src/hash.rs
@@ -1,6 +1,7 @@
 //! Hashes of keys and server ids, the same at every node.
 
-/// A 64-bit hash of a text: FNV-1a, then a finisher so that all bits depend on all of the text.
+/// Returns a 64-bit hash of a text: FNV-1a, followed by a finalizer that makes all bits depend on
+/// the whole text.
 pub fn hash(text: &str) -> u64 {
     let mut h = text.bytes().fold(0xcbf29ce484222325, |h: u64, b| {
         (h ^ u64::from(b)).wrapping_mul(0x100000001b3)
@@ -10,7 +11,7 @@
     h ^ (h >> 33)
 }
 
-/// A hash's position between 0 and 1.
+/// Returns the position of a hash between 0 and 1.
 pub(crate) fn unit_position(hash: u64) -> f64 {
     (hash >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/policy/src/hot_keys.rs
+++ b/crates/policy/src/hot_keys.rs
@@ -1,16 +1,17 @@
-//! Hot keys: how often keys are asked for at this node, and over how many caches a key is spread.
+//! Hot keys: counts how often each key is called at this node, and decides over how many caches to
+//! spread it.
 use crate::time::Time;
 
-/// Counters kept; keys share them by their hashes.
+/// Number of counters; keys are mapped to them by their hashes.
 const COUNTERS: usize = 1024;
-/// Time in which a count loses half its weight. At few calls a shorter time tells nothing.
+/// Half-life of a count. At low call rates a shorter one would leave too few calls to compare.
 const HALF_LIFE_SECONDS: f64 = 15.0;
-/// Calls for other keys that are weighed against a key's own.
-const PRIOR_CALLS: f64 = 16.0;
-/// Caches for a key that is asked for as often as all keys of an average cache.
-const CACHES_PER_CACHE_SHARE: f64 = 3.0;
+/// Assumed calls for other keys, so that the first calls do not make a key look hot.
+const PRIOR_OTHER_CALLS: f64 = 16.0;
+/// Number of caches for a key that is called as often as all keys of an average cache together.
+const REPLICAS_PER_CACHE_SHARE: f64 = 3.0;
 
-/// A count whose weight halves as time passes.
+/// A count that decays exponentially over time.
 #[derive(Clone, Copy, Default)]
 struct DecayingCounter {
     count: f64,
@@ -18,10 +19,10 @@
 }
 
 impl DecayingCounter {
-    /// Counts one more and returns the count as of now.
+    /// Adds one and returns the current count.
     fn increment(&mut self, now: Time) -> f64 {
-        let kept = 0.5f64.powf((now - self.updated).seconds() / HALF_LIFE_SECONDS);
-        self.count = self.count * kept + 1.0;
+        let decay_factor = 0.5f64.powf((now - self.updated).seconds() / HALF_LIFE_SECONDS);
+        self.count = self.count * decay_factor + 1.0;
         self.updated = now;
         self.count
     }
@@ -35,15 +36,16 @@
 }
 
 impl HotKeyTracker {
-    /// Counts a call and tells over how many caches to spread its key; not above one for most keys.
-    /// Guards against hot keys that overload one cache while others are idle: at hundreds of nodes
-    /// no node sees it by its own attempts.
+    /// Counts a call and returns the number of caches to spread its key over, which is at most 1
+    /// for most keys. Without this, a hot key could overload one cache while others are idle: with
+    /// hundreds of nodes, no node notices it from its own attempts.
     pub(crate) fn record_call(&mut self, key: u64, caches: usize, now: Time) -> f64 {
         self.counters.resize(COUNTERS, DecayingCounter::default());
         let count = self.counters[key as usize % COUNTERS].increment(now);
         let total = self.total.increment(now);
-        // Some keys look hot by chance: only what exceeds the standard deviation counts.
+        // Some keys look hot by chance, so only the part of the count above its standard deviation
+        // counts.
         let significant = count - count.sqrt();
-        CACHES_PER_CACHE_SHARE * caches as f64 * significant / (total + PRIOR_CALLS)
+        REPLICAS_PER_CACHE_SHARE * caches as f64 * significant / (total + PRIOR_OTHER_CALLS)
     }
 }
--- a/crates/policy/src/idle_connections.rs
+++ b/crates/policy/src/idle_connections.rs
@@ -1,52 +1,54 @@
-//! How many idle connections to caches this node keeps open.
+//! The limit on idle connections that this node keeps open to caches.
 use crate::actions::PolicyActions;
 use crate::endpoint::ServerIndex;
 use crate::server::Server;
 use crate::time::{Span, Time};
 
-/// How long an unused connection stays open where the settings do not say.
+/// How long a server keeps an idle connection open if the settings do not state it.
 const DEFAULT_KEEPALIVE: Span = Span::ms(15_000);
-/// A connection used within this time is likely to be used again and is not closed.
+/// Time since its last use within which a connection is likely to be used again and is not closed.
 const MIN_IDLE_TIME: Span = Span::ms(100);
-/// Factor of the part of caches that may stay connected, for a refused connection.
-const REFUSED_FACTOR: f64 = 0.85;
-/// The same factor, for an answer.
-const ANSWERED_FACTOR: f64 = 1.002;
-/// Least part of caches that may stay connected.
+/// Factor applied to `connected_ratio` for each refused connection.
+const REFUSED_CONNECTION_FACTOR: f64 = 0.85;
+/// Factor applied to `connected_ratio` for each response.
+const RESPONSE_FACTOR: f64 = 1.002;
+/// Least value of `connected_ratio`.
 const MIN_CONNECTED_RATIO: f64 = 0.01;
 
-/// Limits idle connections once caches refuse them. Guards against more nodes than a cache takes
-/// connections from; every cache keeps its keys all the same.
+/// Limits idle connections once caches refuse connections, which happens if there are more nodes
+/// than a cache accepts connections from. The limit does not change which cache gets a key.
 #[derive(Default)]
 pub(crate) struct IdleConnections {
-    /// Part of the ready caches to which idle connections may stay open.
+    /// Fraction of the ready caches to which idle connections may stay open.
     pub(crate) connected_ratio: f64,
     keepalive: Span,
 }
 
 impl IdleConnections {
-    /// Takes over how long servers keep idle connections open.
+    /// Sets how long servers keep idle connections open.
     pub(crate) fn configure(&mut self, keepalive: Option<Span>) {
         self.keepalive = keepalive.unwrap_or(DEFAULT_KEEPALIVE);
     }
 
-    /// A cache refused a connection.
+    /// Records that a cache refused a connection.
     pub(crate) fn record_refused(&mut self) {
-        self.connected_ratio = (self.connected_ratio * REFUSED_FACTOR).max(MIN_CONNECTED_RATIO);
+        self.connected_ratio =
+            (self.connected_ratio * REFUSED_CONNECTION_FACTOR).max(MIN_CONNECTED_RATIO);
     }
 
-    /// A cache answered.
-    pub(crate) fn record_answer(&mut self) {
-        self.connected_ratio = (self.connected_ratio * ANSWERED_FACTOR).min(1.0);
+    /// Records a response of a cache.
+    pub(crate) fn record_response(&mut self) {
+        self.connected_ratio = (self.connected_ratio * RESPONSE_FACTOR).min(1.0);
     }
 
-    /// Takes back what these refusals cost: the cache was not full but restarting or gone.
+    /// Undoes the effect of refused connections after the cache turns out to have been restarting
+    /// or gone, and not full.
     pub(crate) fn forget_refused(&mut self, refused: u32) {
         self.connected_ratio =
-            (self.connected_ratio / REFUSED_FACTOR.powi(refused as i32)).min(1.0);
+            (self.connected_ratio / REFUSED_CONNECTION_FACTOR.powi(refused as i32)).min(1.0);
     }
 
-    /// Closes the idle connections beyond the limit, the longest unused first.
+    /// Closes the idle connections in excess of the limit, the least recently used first.
     pub(crate) fn close_surplus_idle(
         &self,
         caches: &[ServerIndex],
--- a/crates/policy/src/key_health.rs
+++ b/crates/policy/src/key_health.rs
@@ -1,5 +1,4 @@
-//! Keys whose calls fail at whichever cache they are sent to, and a concurrency limit for each of
-//! them.
+//! Detection of keys whose calls fail at every cache, and a concurrency limit for each of them.
 use rustc_hash::FxHashMap;
 
 use crate::concurrency_limiter::ConcurrencyLimiter;
@@ -8,46 +7,46 @@
 use crate::outlier_detection::OUTLIER_SUCCESS_RATIO;
 use crate::time::{Span, Time};
 
-/// Keys that are recorded at most.
+/// Largest number of keys with a record.
 const MAX_RECORDS: usize = 256;
-/// How long a record is kept without a new outcome.
+/// Time without a new outcome after which a record is discarded.
 const RECORD_RETENTION: Span = Span::ms(15_000);
-/// Time in which an outcome loses half its weight.
+/// Half-life of an outcome's weight.
 const HALF_LIFE_SECONDS: f64 = 5.0;
-/// Outcomes at the fleet's success ratio that are weighed against a key's own.
+/// Assumed outcomes at the fleet's success ratio that are combined with a key's own.
 const PRIOR_OUTCOMES: f64 = 2.0;
-/// Slots of a key's limit at first.
+/// Initial limit of a key, in slots.
 const START_LIMIT_SLOTS: f64 = 1.0;
-/// Least slots of a key's limit.
+/// Least limit of a key, in slots.
 const MIN_LIMIT_SLOTS: f64 = 0.02;
 
-/// Outcomes of keys that failed lately.
+/// Outcomes of keys with recent failures.
 #[derive(Default)]
 pub(crate) struct KeyHealth {
-    /// A late answer counts against a key as an error does: right where clients that read slowly
-    /// hold the node's few buffers. Elsewhere lateness is a sign of a hot key, which needs more
-    /// caches and not fewer calls.
-    pub(crate) late_answers_count: bool,
+    /// Whether a late response counts as a failure of its key. This is right if clients that read
+    /// slowly occupy the node's few response buffers. Otherwise lateness is a sign of a hot key,
+    /// which needs more caches and not fewer calls.
+    pub(crate) late_responses_are_failures: bool,
     records: FxHashMap<u64, KeyRecord>,
 }
 
-/// Outcomes of one key.
+/// Outcomes of a key.
 #[derive(Default)]
 struct KeyRecord {
     evidence: Evidence,
     updated: Time,
     last_failing_cache: ServerIndex,
     failed_at_several_caches: bool,
-    /// Limits the key's calls once it fails wherever it is sent.
+    /// Limits the key's calls once they fail at several caches.
     limiter: Option<ConcurrencyLimiter>,
 }
 
 impl KeyHealth {
-    /// Records how an attempt at a cache went. Only a failure begins a record, so that few keys
+    /// Records how an attempt at a cache ended. Only a failure creates a record, so that few keys
     /// have one.
     pub(crate) fn record(&mut self, key: u64, cache: ServerIndex, good: bool, now: Time) {
-        let may_begin = !good && self.records.len() < MAX_RECORDS;
-        if !may_begin && !self.records.contains_key(&key) {
+        let may_create = !good && self.records.len() < MAX_RECORDS;
+        if !may_create && !self.records.contains_key(&key) {
             return;
         }
         let record = self.records.entry(key).or_default();
@@ -64,8 +63,9 @@
         }
     }
 
-    /// Gives a key that fails at several caches a limit. Guards against a key behind a lock, say,
-    /// whose calls fill all caches while they wait, also those that no client waits for any more.
+    /// Creates a limiter for a key that fails at several caches. Without it, calls for such a key,
+    /// for example one behind a lock, would fill all caches while they wait, even after their
+    /// clients have timed out.
     pub(crate) fn limit_if_failing(
         &mut self,
         key: u64,
@@ -93,19 +93,19 @@
         }
     }
 
-    /// The limiter of a key, if it has one.
+    /// Returns the limiter of a key, if it has one.
     pub(crate) fn limiter(&mut self, key: u64) -> Option<&mut ConcurrencyLimiter> {
         self.records.get_mut(&key)?.limiter.as_mut()
     }
 
-    /// Whether a key has a limiter.
+    /// Returns whether a key has a limiter.
     pub(crate) fn is_limited(&self, key: u64) -> bool {
         self.records
             .get(&key)
             .is_some_and(|record| record.limiter.is_some())
     }
 
-    /// Lets limits recover and drops old records.
+    /// Lets limits recover and discards expired records.
     pub(crate) fn tick(&mut self, elapsed_seconds: f64, now: Time) {
         self.records.retain(|_, record| {
             if let Some(limiter) = &mut record.limiter {
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,36 +1,38 @@
 //! The decisions of one quartzhub node, free of I/O, clocks and wire formats.
 //!
-//! Make a [`Balancer`] from a [`PolicyConfig`] and a seed, call [`Balancer::start`] once, then hand
-//! over what happens: the `on_*` methods. What is to be done is called on the [`PolicyActions`]
-//! given along.
+//! Create a [`Balancer`] from a [`PolicyConfig`] and a seed, call [`Balancer::start`] once, then
+//! report each event to its `on_*` method. The balancer carries out its decisions by calling the
+//! [`PolicyActions`] passed along with the event.
 //!
-//! An API call passes the stages below in this order; each may send it on, let it wait or answer
-//! it. Results of attempts run back to the stages that learn from them.
+//! An API call passes through the stages below in this order; each stage may pass it on, queue it
+//! or give it its final response. Results of attempts are reported back to the stages that learn
+//! from them.
 //!
-//! 1. [`new_call`]: opens the call, with [`hot_keys`] and [`key_health`]
+//! 1. [`new_call`]: opens the call, using [`hot_keys`] and [`key_health`]
 //! 2. [`admission`]: tenants' quotas and load shedding
-//! 3. [`coalescing`]: one fetch from the origin for each key
-//! 4. [`cache_selector`]: DEMA, asking [`outlier_detection`], [`zone_health`] and [`slow_start`]
-//!    for each cache
-//! 5. [`origin`] and [`origin_queue`]: a short queue behind a [`concurrency_limiter`]
-//! 6. [`dispatch`]: the only place that sends, within the [`retry_policy`] and its [`retry_budget`]
-//! 7. [`attempt_completion`]: what an attempt's end tells
-//! 8. [`finish`]: retries and the final answer
+//! 3. [`coalescing`]: at most one fetch from the origin for each key at a time
+//! 4. [`cache_selector`]: DEMA, which consults [`outlier_detection`], [`zone_health`] and
+//!    [`slow_start`] for each cache
+//! 5. [`origin`] and [`origin_queue`]: a short queue in front of a [`concurrency_limiter`]
+//! 6. [`dispatch`]: the only place that sends attempts, within the [`retry_policy`] and its
+//!    [`retry_budget`]
+//! 7. [`attempt_completion`]: evaluates how an attempt ended
+//! 8. [`finish`]: retries and the final response
 //!
-//! Beside them stand [`hedging`] of overdue attempts, [`deadlines`], the [`timer`], and the
+//! Other modules handle [`hedging`] of overdue attempts, [`deadlines`], the [`timer`] and the
 //! [`endpoint_list`].
 //!
 //! # Rules
 //!
-//! - Rule 1, [`rules::may_be_sent`]: every call gets one final answer in time, nothing is sent for
-//!   it afterwards.
+//! - Rule 1, [`rules::may_be_sent`]: every call gets exactly one final response in time, and
+//!   nothing is sent for it afterwards.
 //! - Rule 2, [`rules::has_no_effect_twice`], [`rules::safe_retry_window`] and
-//!   [`rules::may_be_rejected`]: no effect twice.
-//! - Rule 3, [`rules::accepts_new_attempts`]: nothing new to a draining or gone server.
+//!   [`rules::may_be_rejected`]: no call takes effect twice.
+//! - Rule 3, [`rules::accepts_new_attempts`]: no new attempts go to a draining or gone server.
 //! - Rule 4, [`slow_start::SlowStart::has_credit`] and [`origin::Origin::has_slot`]: cold servers
 //!   and the origin are not overloaded.
 #![deny(missing_docs)]
-// The links above lead to private modules, for `cargo doc --document-private-items`.
+// The links above point to private modules; they resolve in `cargo doc --document-private-items`.
 #![allow(rustdoc::private_intra_doc_links)]
 
 mod actions;
--- a/crates/policy/src/new_call.rs
+++ b/crates/policy/src/new_call.rs
@@ -1,4 +1,4 @@
-//! A new API call, and one whose client has left.
+//! Handling of new API calls, and of calls whose client has disconnected.
 use crate::actions::PolicyActions;
 use crate::balancer::Balancer;
 use crate::cache_selector::replica_position;
@@ -8,11 +8,12 @@
 use crate::request::{CallIndex, CallRequest};
 use crate::time::{Span, Time};
 
-/// Calls without a key get one of this many at random, as many as a float tells apart.
+/// Calls without a key get a random one of this many: the number of integers that a float
+/// represents exactly.
 const RANDOM_KEYS: f64 = (1u64 << 53) as f64;
 
 impl Balancer {
-    /// A client has made an API call.
+    /// Handles a new API call of a client.
     pub fn on_call(
         &mut self,
         now: Time,
@@ -30,7 +31,7 @@
         self.admit_call(index, actions);
     }
 
-    /// Begins the record of a call under this index.
+    /// Creates the state of a call under this index.
     fn open_call(&mut self, index: CallIndex, request: &CallRequest) {
         let now = self.now;
         let table_size = self.calls.len().max(index.0 + 1);
@@ -41,15 +42,17 @@
         };
         let product_index = request.product.min(self.products.len() - 1);
         let product = self.products[product_index];
-        // Guards against retries that come back late: they use no quota and are shed by the value
-        // they have lost.
-        let lost_value = if request.client_retry {
+        // Clients' retries use no quota: late ones would use it up. They are shed according to the
+        // weight that they have lost.
+        let lost_weight_ratio = if request.client_retry {
             1.0 - product.late_priority_weight
         } else {
             0.0
         };
-        let over_quota = self.admission.over_quota(request.tenant, lost_value, now);
-        let expires = now + self.time_left(&product, request.time_left);
+        let over_quota_ratio =
+            self.admission
+                .over_quota_ratio(request.tenant, lost_weight_ratio, now);
+        let client_deadline = now + self.time_left(&product, request.time_left);
         self.last_serial = self.last_serial.wrapping_add(1);
         let call = &mut self.calls[index.0];
         let mut attempts = std::mem::take(&mut call.attempts);
@@ -60,24 +63,25 @@
             product,
             product_index,
             max_attempts: self.retry_policy.max_attempts,
-            over_quota,
+            over_quota_ratio,
             write: request.write,
             key,
-            expires,
-            deadline: now,
+            client_deadline,
+            phase_deadline: now,
             attempts,
             ..Call::default()
         };
         self.calls[index.0].key_position = self.key_position(key);
     }
 
-    /// The time until a client gives up. Guards against clients whose clocks differ: it is longer
-    /// by as much as they may, within the product's timeout.
+    /// Returns the time until a client gives up. Clients' clocks may differ from this node's, so it
+    /// is the stated time plus `deadline_drift`, within the product's timeout.
     fn time_left(&self, product: &Product, stated: Span) -> Span {
         stated.max(product.client_timeout.min(stated + self.deadline_drift))
     }
 
-    /// The position of a call's key; of a hot key the position of one of its replicas.
+    /// Returns the position of a call's key, or the position of a random one of its replicas if the
+    /// key is hot.
     fn key_position(&mut self, key: u64) -> f64 {
         let caches = self.cache_selector.caches.len();
         let replicas = self.hot_keys.record_call(key, caches, self.now);
@@ -89,19 +93,19 @@
         replica_position(key, replica)
     }
 
-    /// Whether a call is sent to caches first.
-    fn is_for_caches(&self, call: &Call) -> bool {
+    /// Returns whether a call is sent to caches first.
+    fn goes_to_caches_first(&self, call: &Call) -> bool {
         !(call.write && self.cache_aside)
     }
 
-    /// Takes a slot of the key's limiter, if there is one; tells whether the call may go on.
+    /// Takes a slot of the key's limiter, if it has one; returns whether the call may continue.
     fn acquire_key_slot(&mut self, index: CallIndex) -> bool {
-        let is_for_caches = self.is_for_caches(&self.calls[index.0]);
+        let goes_to_caches_first = self.goes_to_caches_first(&self.calls[index.0]);
         let call = &mut self.calls[index.0];
         let Some(limiter) = self.key_health.limiter(call.key) else {
             return true;
         };
-        if !is_for_caches {
+        if !goes_to_caches_first {
             return true;
         }
         let has_slot = limiter.has_capacity(self.now);
@@ -113,28 +117,28 @@
         has_slot
     }
 
-    /// Takes a call in or sheds it.
+    /// Admits a call or sheds it.
     fn admit_call(&mut self, index: CallIndex, actions: &mut impl PolicyActions) {
         let call = &self.calls[index.0];
-        let is_for_caches = self.is_for_caches(call);
-        let queueing_delay_ratio = if is_for_caches {
+        let goes_to_caches_first = self.goes_to_caches_first(call);
+        let queueing_delay_ratio = if goes_to_caches_first {
             self.cache_load
                 .queueing_delay_ratio(call.product_index, call.product.latency_objective)
         } else {
             0.0
         };
-        let confidence = self.cache_load.pace().powi(2);
+        let confidence = self.cache_load.averaging_speed().powi(2);
         let is_over_quota = call.is_over_quota();
         let admitted = self.admission.admit(
-            call.over_quota,
+            call.over_quota_ratio,
             queueing_delay_ratio,
             confidence,
             &mut self.rng,
         );
-        // Guards against reads that are shed for a queue at the caches while the origin has free
-        // slots.
+        // A read within quota that the caches are too loaded for goes to the origin while that has
+        // free slots, instead of being shed.
         let spills_over =
-            is_for_caches && !is_over_quota && self.origin.accepts_unmissed_read(self.now);
+            goes_to_caches_first && !is_over_quota && self.origin.accepts_unmissed_read(self.now);
         if admitted {
             self.coalesce_or_route(index, actions);
         } else if spills_over {
@@ -144,7 +148,7 @@
         }
     }
 
-    /// The client has left; it gets no answer any more.
+    /// Handles a client's disconnection or cancellation: the call gets no response any more.
     pub fn on_client_cancelled(
         &mut self,
         now: Time,
--- a/crates/policy/src/origin.rs
+++ b/crates/policy/src/origin.rs
@@ -1,32 +1,34 @@
-//! The origin behind an adaptive concurrency limit (rule 4).
+//! The origin servers behind an adaptive concurrency limit (rule 4).
 use crate::attempt_result::{AttemptResult, Outcome};
-use crate::concurrency_limiter::{ConcurrencyLimiter, MAX_SAVED_ATTEMPTS};
+use crate::concurrency_limiter::{ConcurrencyLimiter, MAX_BURST_ATTEMPTS};
 use crate::endpoint::ServerIndex;
 use crate::latency_baseline::{LatencyBaseline, SAMPLE_WEIGHT};
 use crate::request::CallIndex;
 use crate::time::{Span, Time};
 
-/// Part of the latency objective that the origin's answers may take; the rest is the cache's and
-/// the queue's.
+/// Fraction of the latency objective that the origin's responses may take; the rest is left for the
+/// cache and the queue.
 const TARGET_RATIO: f64 = 0.4;
-/// Times its baseline that an answer may always take: half of it is queueing.
+/// Multiple of the baseline that a response time may always reach: half of it is queueing.
 const TARGET_TO_BASELINE_RATIO: f64 = 2.0;
-/// Slots of one node at the start, at most.
+/// Largest initial limit of one node, in slots.
 const MAX_START_SLOTS: f64 = 4.0;
-/// Slots of all nodes together at the start.
+/// Initial limit of all nodes together, in slots.
 const START_SLOTS_ALL_NODES: f64 = 200.0;
-/// Least slots of all nodes together.
+/// Least limit of all nodes together, in slots.
 const MIN_SLOTS_ALL_NODES: f64 = 2.0;
-/// Slots to which all nodes' limits together grow while nothing waits.
+/// Limit of all nodes together, in slots, up to which successes raise it while no call waits for a
+/// slot.
 const MAX_UNSATURATED_SLOTS_ALL_NODES: f64 = 800.0;
-/// Slots beside the limit that only writes may use, at most.
+/// Largest number of slots beyond the limit that are reserved for writes.
 const MAX_WRITE_SLOTS: f64 = 1.0;
-/// Part of a late answer that an attempt lost on a lossy path counts for.
-const LOST_ON_PATH_RATIO: f64 = 0.25;
-/// Weight of one answer in the mean answer times, which are of fewer answers than the caches'.
+/// Weight of an attempt that a lossy network path has lost, relative to an overdue response.
+const LOST_ON_PATH_WEIGHT: f64 = 0.25;
+/// Weight of one response in the mean response times; higher than for caches, as the origin
+/// responds less often.
 const LATENCY_WEIGHT: f64 = 2.0 * SAMPLE_WEIGHT;
 
-/// Answer times of the origin by kind of call.
+/// Response times of the origin, for reads and writes.
 #[derive(Default)]
 pub(crate) struct OriginLatencies {
     pub(crate) reads: LatencyBaseline,
@@ -51,44 +53,45 @@
     }
 }
 
-/// The origin servers, their limits and the calls that wait for a slot.
+/// The origin servers, their limits and the calls queued for a slot.
 #[derive(Default)]
 pub(crate) struct Origin {
     pub(crate) servers: Vec<ServerIndex>,
     pub(crate) limiter: ConcurrencyLimiter,
-    /// Limits the slot beside `limiter` that only writes may use.
+    /// Limits the slots beyond `limiter` that are reserved for writes.
     pub(crate) write_limiter: ConcurrencyLimiter,
     pub(crate) latencies: OriginLatencies,
     pub(crate) queue: Vec<CallIndex>,
-    /// While the path to the origin's zone is an outlier: the least answer time since then, without
-    /// end before the first answer. Else 0.
+    /// While the network path to the origin's zone is an outlier: the least response time since
+    /// then, or infinity before the first response. Otherwise 0.
     pub(crate) path_delay_micros: f64,
 }
 
 impl Origin {
-    /// Takes over a configuration; limits are a part of all nodes' and follow their number.
+    /// Applies a configuration. The limits are a fraction of those of all nodes together and are
+    /// rescaled if the number of nodes changes.
     pub(crate) fn configure(&mut self, shortest_objective: Span, nodes: f64, previous_nodes: f64) {
         let limiter = &mut self.limiter;
         limiter.min_limit = MIN_SLOTS_ALL_NODES / nodes;
         limiter.target_micros = shortest_objective.0 as f64 * TARGET_RATIO;
         limiter.max_unsaturated_limit =
-            (MAX_UNSATURATED_SLOTS_ALL_NODES / nodes).min(MAX_SAVED_ATTEMPTS);
+            (MAX_UNSATURATED_SLOTS_ALL_NODES / nodes).min(MAX_BURST_ATTEMPTS);
         limiter.limit = (limiter.limit * previous_nodes / nodes).max(limiter.min_limit);
         let writes = &mut self.write_limiter;
         writes.min_limit = limiter.min_limit;
         writes.target_micros = limiter.target_micros;
         writes.max_unsaturated_limit = limiter.max_unsaturated_limit.min(MAX_WRITE_SLOTS);
-        // Guards against a write slot kept at a move to many more nodes, all of which would have
-        // one.
+        // The write slot is rescaled too: otherwise each node would keep a full slot when the
+        // number of nodes grows considerably.
         writes.limit = (writes.limit * previous_nodes / nodes)
             .clamp(writes.min_limit.min(MAX_WRITE_SLOTS), MAX_WRITE_SLOTS);
     }
 
-    /// Starts over with an origin that has not answered yet.
+    /// Resets limits and response times for an origin that has not responded yet.
     pub(crate) fn reset(&mut self, nodes: f64) {
         let target_micros = self.limiter.target_micros;
         self.limiter.limit = (START_SLOTS_ALL_NODES / nodes).min(MAX_START_SLOTS);
-        self.limiter.saved_attempts = MAX_SAVED_ATTEMPTS;
+        self.limiter.burst_tokens = MAX_BURST_ATTEMPTS;
         self.write_limiter.limit = (START_SLOTS_ALL_NODES / nodes).min(MAX_WRITE_SLOTS);
         self.latencies.reads = LatencyBaseline {
             mean: target_micros,
@@ -100,26 +103,26 @@
         };
     }
 
-    /// Whether a read that has not missed may be sent here: there is a slot that no miss and no
-    /// write waits for.
+    /// Returns whether a read that no cache has missed may be sent to the origin: there is a free
+    /// slot, and no miss or write waits for it.
     pub(crate) fn accepts_unmissed_read(&self, now: Time) -> bool {
         self.limiter.has_capacity(now) && self.queue.is_empty() && !self.servers.is_empty()
     }
 
-    /// Whether less than half of the slots are in use.
+    /// Returns whether less than half of the slots are in use.
     pub(crate) fn has_slots_to_spare(&self, now: Time) -> bool {
         let needed = f64::from(self.limiter.in_flight) * 2.0 + 1.0;
         self.accepts_unmissed_read(now) && needed <= self.limiter.limit
     }
 
-    /// Rule 4: whether a call may be sent to the origin now. Writes have a slot of their own beside
-    /// the limit. Guards against reads that hold the one slot of a node while writes, whose weight
-    /// is higher, find none.
+    /// Rule 4: returns whether a call may be sent to the origin now. Writes have a slot of their
+    /// own beyond the limit: otherwise reads could occupy the only slot of a node, and writes,
+    /// whose weight is higher, would find none.
     pub(crate) fn has_slot(&self, write: bool, now: Time) -> bool {
         self.limiter.has_capacity(now) || write && self.write_limiter.has_capacity(now)
     }
 
-    /// The limiter that an attempt takes its slot from.
+    /// Returns the limiter that an attempt takes its slot from.
     pub(crate) fn limiter_for(&mut self, uses_write_slot: bool) -> &mut ConcurrencyLimiter {
         if uses_write_slot {
             &mut self.write_limiter
@@ -128,23 +131,24 @@
         }
     }
 
-    /// The answer time that is steered for. Guards against a spiral where few reads get through and
-    /// writes, which take longer by nature, would be taken for queueing: none has to be faster than
-    /// twice its own baseline.
+    /// Returns the target response time. It is never below twice the operation's own baseline.
+    /// Otherwise, once few reads get through, the naturally longer writes would be mistaken for
+    /// queueing and lower the limit further and further.
     pub(crate) fn target_micros(&self, latency_objective: Span, write: bool) -> f64 {
         (TARGET_RATIO * latency_objective.0 as f64)
             .max(TARGET_TO_BASELINE_RATIO * self.latencies.of(write).baseline)
     }
 
-    /// Whether the path to the origin's zone delays or loses attempts.
+    /// Returns whether the network path to the origin's zone delays or loses attempts.
     pub(crate) fn is_path_lossy(&self) -> bool {
         self.path_delay_micros > 0.0
     }
 
-    /// Guards against taking a slow path, or what it loses, for queueing at the origin: only what
-    /// answers take beyond the least of late steers the limit, beside which the path may hold as
-    /// many attempts as fit.
-    pub(crate) fn follow_path(&mut self, zone_is_outlier: bool) {
+    /// Updates the delay of the network path, so that a slow or lossy path is not mistaken for
+    /// queueing at the origin. Only the time in excess of the recent least response time then
+    /// adjusts the limit, and the attempts that the path delays may be in flight in addition to the
+    /// limit.
+    pub(crate) fn update_path_delay(&mut self, zone_is_outlier: bool) {
         self.path_delay_micros = match (zone_is_outlier, self.is_path_lossy()) {
             (false, _) => 0.0,
             (true, true) => self.path_delay_micros,
@@ -157,7 +161,7 @@
         };
     }
 
-    /// Gives an attempt's slot back and steers the limits by its end.
+    /// Releases an attempt's slot and adjusts the limits by how the attempt ended.
     pub(crate) fn record(
         &mut self,
         result: &AttemptResult,
@@ -174,32 +178,33 @@
             Success | Miss | ServerError => {
                 self.record_latency(result.latency, latency_objective, write)
             }
-            TimedOut | Unreachable | Reset if self.is_path_lossy() => -LOST_ON_PATH_RATIO,
+            TimedOut | Unreachable | Reset if self.is_path_lossy() => -LOST_ON_PATH_WEIGHT,
             Overloaded | TimedOut | Unreachable | Reset => -1.0,
             Cancelled | NotSent | Unrecognized => return,
         };
-        self.limiter.record_answer(spare_ratio);
+        self.limiter.record_response(spare_ratio);
         if uses_write_slot {
-            self.write_limiter.record_answer(spare_ratio);
+            self.write_limiter.record_response(spare_ratio);
         }
         if matches!(result.outcome, Success | Miss | ServerError) {
             self.limiter.saturated = !self.queue.is_empty();
         }
     }
 
-    /// Records an answer time and returns what it left of its target, as a part of it.
+    /// Records a response time and returns the fraction of the target time that it left unused.
     fn record_latency(&mut self, latency: Span, latency_objective: Span, write: bool) -> f64 {
         let target_micros = self.target_micros(latency_objective, write);
         let is_path_lossy = self.is_path_lossy();
         let mut micros = latency.0 as f64;
         if is_path_lossy {
             self.path_delay_micros = self.path_delay_micros.min(micros);
-            let beyond_path = micros - self.path_delay_micros + self.latencies.of(write).baseline;
-            micros = beyond_path.min((1.0 + LOST_ON_PATH_RATIO) * target_micros);
+            let without_path_delay =
+                micros - self.path_delay_micros + self.latencies.of(write).baseline;
+            micros = without_path_delay.min((1.0 + LOST_ON_PATH_WEIGHT) * target_micros);
         }
         self.latencies.of_mut(write).record(micros, LATENCY_WEIGHT);
-        // An attempt that took longer counted when it became overdue, except where the path is
-        // lossy.
+        // An attempt that exceeded its target was already recorded when it became overdue, except
+        // on a lossy path.
         let min_spare_ratio = if is_path_lossy { -1.0 } else { 0.0 };
         (1.0 - micros / target_micros).max(min_spare_ratio)
     }
--- a/crates/policy/src/origin_queue.rs
+++ b/crates/policy/src/origin_queue.rs
@@ -7,18 +7,19 @@
 use crate::request::CallIndex;
 use crate::time::Span;
 
-/// Order of calls in the queue; the highest is sent first.
+/// Priority of a call in the queue; the highest is sent first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct QueueRank {
+struct QueuePriority {
     write: bool,
     within_quota: bool,
-    /// The priority weight, which is not negative, as bits: they compare as it does.
+    /// The bits of the priority weight, which order like the weight itself since it is not
+    /// negative.
     weight_bits: u64,
 }
 
-impl QueueRank {
-    fn of(call: &Call) -> QueueRank {
-        QueueRank {
+impl QueuePriority {
+    fn of(call: &Call) -> QueuePriority {
+        QueuePriority {
             write: call.write,
             within_quota: !call.is_over_quota(),
             weight_bits: call.product.priority_weight.to_bits(),
@@ -27,7 +28,8 @@
 }
 
 impl Balancer {
-    /// Sends a call to the origin, lets it wait for a slot, or for another call's fetch of its key.
+    /// Routes a call to the origin: sends it, queues it for a slot, or lets it wait for another
+    /// call's fetch of its key.
     pub(crate) fn route_to_origin(&mut self, index: CallIndex, actions: &mut impl PolicyActions) {
         if self.origin.servers.is_empty() {
             return self.give_up(index, actions);
@@ -47,13 +49,14 @@
         self.origin.queue.push(index);
         self.park(index, CallPhase::QueuedForOrigin, actions);
         self.send_queued(actions);
-        // Guards against a call with little time left whose slot went to another one.
+        // A nearly expired call must not wait if its slot went to another call.
         if nearly_expired && self.calls[index.0].phase == CallPhase::QueuedForOrigin {
             self.give_up(index, actions);
         }
     }
 
-    /// Whether a call would wait for a slot for longer than it may; writes go ahead of the queue.
+    /// Returns whether a call would wait for a slot for longer than permitted. Writes overtake all
+    /// reads in the queue.
     fn would_queue_too_long(&self, index: CallIndex) -> bool {
         let call = &self.calls[index.0];
         let ahead = if call.write {
@@ -61,18 +64,18 @@
         } else {
             self.origin.queue.len()
         };
-        let max_wait = call.product.latency_objective.times(MAX_QUEUEING_RATIO);
+        let max_delay = call.product.latency_objective.times(MAX_QUEUEING_RATIO);
         let mean_micros = self.origin.latencies.reads.mean;
-        let wait_micros = mean_micros * (ahead + 1) as f64 / self.origin.limiter.limit;
-        !self.origin.has_slot(call.write, self.now) && Span(wait_micros as i64) > max_wait
+        let delay_micros = mean_micros * (ahead + 1) as f64 / self.origin.limiter.limit;
+        !self.origin.has_slot(call.write, self.now) && Span(delay_micros as i64) > max_delay
     }
 
-    /// Sends queued calls to the origin while it has slots: writes, then calls within quota, then
-    /// those of higher weight.
+    /// Sends queued calls to the origin while it has free slots: writes first, then calls within
+    /// quota, then calls of higher weight.
     pub(crate) fn send_queued(&mut self, actions: &mut impl PolicyActions) {
-        let waits = !self.origin.queue.is_empty();
-        self.origin.limiter.saturated |= waits && !self.origin.limiter.has_capacity(self.now);
-        while let Some(index) = self.take_queued() {
+        let is_waiting = !self.origin.queue.is_empty();
+        self.origin.limiter.saturated |= is_waiting && !self.origin.limiter.has_capacity(self.now);
+        while let Some(index) = self.pop_queued() {
             let server = self
                 .origin
                 .servers
@@ -88,13 +91,13 @@
         }
     }
 
-    /// Takes the first call in rank out of the queue if there is a slot for it; of equals the one
-    /// that came first.
-    fn take_queued(&mut self) -> Option<CallIndex> {
+    /// Removes the call of the highest priority from the queue if there is a slot for it; at equal
+    /// priority the earliest one.
+    fn pop_queued(&mut self) -> Option<CallIndex> {
         let queue = &self.origin.queue;
         let first = (0..queue.len())
             .rev()
-            .max_by_key(|place| QueueRank::of(&self.calls[queue[*place].0]))?;
+            .max_by_key(|position| QueuePriority::of(&self.calls[queue[*position].0]))?;
         let write = self.calls[queue[first].0].write;
         if !self.origin.has_slot(write, self.now) {
             return None;
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: which caches fail, hang or are slow, and are mostly passed over.
+//! Outlier detection: caches that fail, hang or are slow are rarely used.
 use rand_distr::{Beta, Distribution};
 
 use crate::attempt_result::{AttemptResult, Outcome};
@@ -10,41 +10,44 @@
 use crate::time::{Span, Time};
 use crate::zone_health::ZoneHealthTable;
 
-/// Below this part of the fleet's success ratio a cache, key or zone is an outlier; a fault of all
-/// is nobody's.
+/// Fraction of the fleet's success ratio below which a cache, key or zone is an outlier. Relative,
+/// as a fault that affects all of them singles out none.
 pub(crate) const OUTLIER_SUCCESS_RATIO: f64 = 0.7;
-/// Part of the latency objective from which an answer is slow.
-pub(crate) const SLOW_ANSWER_RATIO: f64 = 0.5;
-/// Outcomes at the fleet's success ratio that are weighed against a cache's own.
+/// Fraction of the latency objective from which a response is slow.
+pub(crate) const SLOW_RESPONSE_RATIO: f64 = 0.5;
+/// Assumed outcomes at the fleet's success ratio that are combined with a cache's own.
 const PRIOR_OUTCOMES: f64 = 1.0;
-/// Chance of success that must be drawn for an outlier to be used: better than even.
+/// Success probability that the random sample must exceed for an outlier to be used.
 const MIN_DRAWN_SUCCESS: f64 = 0.5;
-/// Median answer times without an answer after which a cache in use is silent.
+/// Time without a response after which a cache in use is silent, in median response times.
 const SILENCE_FACTOR: f64 = 6.0;
-/// Times the 95th percentile of answer times after which an answer is taken for lost.
+/// Time after which a response is considered lost, as a multiple of the 95th percentile of response
+/// times.
 const LOST_FACTOR: f64 = 1.5;
 /// Weight of one outcome in the fleet's success ratio.
 const FLEET_SAMPLE_WEIGHT: f64 = 0.2 * SAMPLE_WEIGHT;
-/// Part of the caches dropped by the endpoint list that are taken to run before there is evidence.
+/// Fraction of delisted caches that are assumed to be still running before there is evidence.
 const DELISTED_SUCCESS_PRIOR: f64 = 0.75;
-/// Weight of an outcome at a dropped cache: a few tell a wrong list from a crash.
+/// Weight of one outcome at a delisted cache; high, so that a few outcomes distinguish a wrong list
+/// from a crash.
 const DELISTED_SAMPLE_WEIGHT: f64 = 0.2;
-/// Steps of the median for a sample above it and below it, as parts of a weighted step.
+/// Steps of the running median for a sample above and below it.
 const MEDIAN_STEPS: QuantileSteps = QuantileSteps { up: 0.5, down: 0.5 };
-/// The same for the 95th percentile.
+/// Steps of the running 95th percentile.
 const P95_STEPS: QuantileSteps = QuantileSteps {
     up: 0.95,
     down: 0.05,
 };
 
-/// How far one sample moves a running quantile, up if it is above it and down if not.
+/// Relative change of a running quantile by one sample, before `SAMPLE_WEIGHT`: up for a sample
+/// above the quantile, down otherwise.
 struct QuantileSteps {
     up: f64,
     down: f64,
 }
 
 impl QuantileSteps {
-    fn moved(&self, quantile: f64, sample: f64) -> f64 {
+    fn updated(&self, quantile: f64, sample: f64) -> f64 {
         let step = if sample > quantile {
             self.up
         } else {
@@ -54,25 +57,24 @@
     }
 }
 
-/// What is known of how the caches answer.
+/// Estimates of how the caches respond.
 #[derive(Default)]
 pub(crate) struct OutlierDetector {
     pub(crate) zones: ZoneHealthTable,
-    /// Median answer time of caches.
+    /// Median response time of caches.
     pub(crate) median_micros: f64,
-    /// 95th percentile of the caches' answer times.
+    /// 95th percentile of the caches' response times.
     pub(crate) p95_micros: f64,
     /// Longest latency objective of any product.
     pub(crate) longest_objective_micros: f64,
     /// Success ratio of all caches.
     pub(crate) fleet_success_ratio: f64,
-    /// Success ratio of the caches that the endpoint list had dropped: high where the list is
-    /// wrong.
+    /// Fraction of attempts at delisted caches that get a response; high if the list is wrong.
     pub(crate) delisted_success_ratio: f64,
 }
 
 impl OutlierDetector {
-    /// Starts over with a fleet that nothing is known of.
+    /// Resets all estimates for an unknown fleet.
     pub(crate) fn reset(&mut self, shortest_objective: Span) {
         let objective_micros = shortest_objective.0 as f64;
         self.median_micros = objective_micros * MIN_HEDGE_DELAY_RATIO;
@@ -81,7 +83,7 @@
         self.fleet_success_ratio = 1.0;
     }
 
-    /// How many times the longest silence of a healthy cache this one's has lasted.
+    /// Returns how long a cache has been silent, as a multiple of the longest normal silence.
     fn silence_ratio(&self, server: &Server, now: Time) -> f64 {
         let longest_healthy = (SILENCE_FACTOR * self.median_micros)
             .max(self.p95_micros)
@@ -91,8 +93,8 @@
             .map_or(0.0, |since| (now - since).0 as f64 / longest_healthy)
     }
 
-    /// Whether a cache is mostly passed over: it fails more than others, is silent, or its zone is
-    /// reached badly.
+    /// Returns whether a cache is an outlier: it fails more often than others, is silent, or its
+    /// zone is hard to reach.
     pub(crate) fn is_outlier(&self, server: &Server, now: Time) -> bool {
         let prior = if server.delisted_since.is_some() {
             self.delisted_success_ratio
@@ -105,8 +107,9 @@
             || self.zones.is_outlier(server.zone)
     }
 
-    /// Whether a cache may be used. For an outlier this is drawn from the posterior of its chance
-    /// of success: it is rarely used and never forgotten.
+    /// Returns whether a cache may be used. An outlier may be used if a random sample from the
+    /// posterior distribution of its success probability is high enough, so it is rarely used but
+    /// still probed.
     pub(crate) fn accepts(&self, server: &Server, now: Time, rng: &mut Pcg) -> bool {
         if !self.is_outlier(server, now) {
             return true;
@@ -119,8 +122,8 @@
             .is_ok_and(|posterior| posterior.sample(rng) > MIN_DRAWN_SUCCESS)
     }
 
-    /// A cache's evidence, with its attempts in flight counted as failures while it is silent.
-    /// Guards against a long good record that hides a cache which has just hung.
+    /// Returns a cache's evidence, with its attempts in flight counted as failures while it is
+    /// silent. Without this, a long record of successes would hide that a cache has just hung.
     fn evidence_with_silence(&self, server: &Server, now: Time) -> Evidence {
         let silence = self.silence_ratio(server, now).max(1.0);
         let unanswered = if silence > 1.0 {
@@ -134,24 +137,24 @@
         }
     }
 
-    /// Whether the endpoint list proved right in dropping caches, so that one that still answers
-    /// may have restarted.
+    /// Returns whether delisted caches have mostly stopped responding. If so, a delisted cache that
+    /// still responds may have restarted.
     pub(crate) fn is_delisting_reliable(&self) -> bool {
         self.delisted_success_ratio < OUTLIER_SUCCESS_RATIO
     }
 
-    /// Time from which an answer is slow, for this latency objective.
+    /// Returns the response time from which a response is slow for this latency objective.
     pub(crate) fn slow_micros(&self, latency_objective: Span) -> f64 {
-        (SLOW_ANSWER_RATIO * latency_objective.0 as f64).max(self.p95_micros)
+        (SLOW_RESPONSE_RATIO * latency_objective.0 as f64).max(self.p95_micros)
     }
 
-    /// Whether an attempt in flight for this long is taken for lost.
+    /// Returns whether the response to an attempt in flight for this long is considered lost.
     pub(crate) fn is_lost(&self, in_flight_for: Span) -> bool {
         in_flight_for.0 as f64 > LOST_FACTOR * self.p95_micros
     }
 
-    /// Records how an attempt at a cache ended. `key_is_limited`: its key fails everywhere, for
-    /// which no cache is blamed.
+    /// Records how an attempt at a cache ended. `key_is_limited` means that its key fails at every
+    /// cache, which is not the fault of this one.
     pub(crate) fn record(
         &mut self,
         server: &mut Server,
@@ -162,18 +165,18 @@
     ) {
         use Outcome::{Cancelled, Miss, NotSent, Overloaded, ServerError, Success};
         let outcome = result.outcome;
-        let answered = matches!(outcome, Success | Miss | Overloaded | ServerError);
+        let responded = matches!(outcome, Success | Miss | Overloaded | ServerError);
         let succeeded = matches!(outcome, Success | Miss);
         let latency_micros = result.latency.0 as f64;
         let slow = latency_micros > self.slow_micros(latency_objective);
-        if answered || server.in_flight == 0 {
+        if responded || server.in_flight == 0 {
             server.silent_since = (server.in_flight > 0).then_some(now);
         }
         if !matches!(outcome, NotSent | Cancelled) {
-            self.record_delisted(server, answered);
+            self.record_delisted(server, responded);
         }
         if slow || !matches!(outcome, Cancelled | NotSent) {
-            self.zones.record(server.zone, answered && !slow);
+            self.zones.record(server.zone, responded && !slow);
         }
         let zone_is_outlier = self.zones.is_outlier(server.zone);
         if succeeded && !zone_is_outlier {
@@ -183,31 +186,32 @@
             server.capacity = f64::from(server.in_flight);
             server.overloaded_at = now;
         }
-        let says_nothing = matches!(outcome, Overloaded | NotSent) || outcome == Cancelled && !slow;
+        let is_inconclusive =
+            matches!(outcome, Overloaded | NotSent) || outcome == Cancelled && !slow;
         let good = succeeded && !slow;
-        // Guards against blaming a cache for a key that fails everywhere, or for the path to its
-        // zone.
-        let blames_other = (key_is_limited || zone_is_outlier) && !good;
-        if !says_nothing && !blames_other {
+        // A failure of a key at every cache, or of the network path to the zone, is not the fault
+        // of this cache.
+        let has_other_cause = (key_is_limited || zone_is_outlier) && !good;
+        if !is_inconclusive && !has_other_cause {
             self.record_evidence(server, good);
         }
     }
 
     fn record_latency(&mut self, micros: f64) {
-        self.median_micros = MEDIAN_STEPS.moved(self.median_micros, micros);
-        self.p95_micros = P95_STEPS.moved(self.p95_micros, micros);
+        self.median_micros = MEDIAN_STEPS.updated(self.median_micros, micros);
+        self.p95_micros = P95_STEPS.updated(self.p95_micros, micros);
     }
 
-    /// Learns from a cache that the endpoint list has dropped whether the list is right.
-    fn record_delisted(&mut self, server: &mut Server, answered: bool) {
+    /// Records whether a delisted cache responded, which shows whether the list is right.
+    fn record_delisted(&mut self, server: &mut Server, responded: bool) {
         if server.delisted_since.is_none() {
             return;
         }
-        let answer = f64::from(u8::from(answered));
+        let response = f64::from(u8::from(responded));
         self.delisted_success_ratio +=
-            DELISTED_SAMPLE_WEIGHT * (answer - self.delisted_success_ratio);
-        // A failed attempt agrees with the list, so earlier answers count no longer.
-        server.evidence.good *= answer;
+            DELISTED_SAMPLE_WEIGHT * (response - self.delisted_success_ratio);
+        // A failed attempt confirms the list, so earlier successes no longer count.
+        server.evidence.good *= response;
     }
 
     fn record_evidence(&mut self, server: &mut Server, good: bool) {
@@ -218,7 +222,7 @@
         self.fleet_success_ratio += FLEET_SAMPLE_WEIGHT * (success - self.fleet_success_ratio);
     }
 
-    /// Lets what was learnt of zones and dropped caches lose weight.
+    /// Decays what was learnt about zones and delisted caches.
     pub(crate) fn tick(&mut self, kept_ratio: f64) {
         self.zones.tick(kept_ratio);
         self.delisted_success_ratio = DELISTED_SUCCESS_PRIOR
--- a/crates/policy/src/pcg.rs
+++ b/crates/policy/src/pcg.rs
@@ -5,7 +5,7 @@
 pub struct Pcg(u64);
 
 impl Pcg {
-    /// A generator that starts from this seed.
+    /// Returns a generator with this seed.
     pub fn new(seed: u64) -> Pcg {
         let mut pcg = Pcg(seed.wrapping_add(0x14057b7ef767814f));
         pcg.draw();
@@ -20,7 +20,7 @@
         ((((old >> 18) ^ old) >> 27) as u32).rotate_right((old >> 59) as u32)
     }
 
-    /// A number in [0, 1).
+    /// Returns the next number in [0, 1).
     pub fn unit(&mut self) -> f64 {
         f64::from(self.draw()) / 4_294_967_296.0
     }
--- a/crates/policy/src/retry_budget.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of attempts beyond each API call's first, where the deployment limits them.
+//! The budget of attempts beyond each API call's first, if the deployment limits them.
 #[cfg(test)]
 mod tests;
 
@@ -8,9 +8,9 @@
 use crate::config::RetryBudgetConfig;
 use crate::time::{Span, Time};
 
-/// API calls and additional attempts that are remembered at most; beyond it the budget is only
-/// narrower.
-const MAX_REMEMBERED: usize = 1 << 16;
+/// Largest number of API calls, and of additional attempts, that are recorded; if there are more,
+/// the budget is smaller than configured.
+const MAX_RECORDED: usize = 1 << 16;
 
 /// Counts API calls and additional attempts in a sliding window.
 #[derive(Default)]
@@ -25,13 +25,13 @@
         self.config.window > Span::ZERO
     }
 
-    /// Counts an API call.
+    /// Records an API call.
     pub(crate) fn record_call(&mut self, now: Time) {
         if !self.is_limited() {
             return;
         }
         self.calls.push_back(now);
-        let surplus = self.calls.len().saturating_sub(MAX_REMEMBERED);
+        let surplus = self.calls.len().saturating_sub(MAX_RECORDED);
         self.calls.drain(..surplus);
         let expired = |at: &Time| now - *at > self.config.window;
         self.calls.drain(..self.calls.partition_point(expired));
@@ -39,14 +39,14 @@
             .drain(..self.additional_attempts.partition_point(expired));
     }
 
-    /// A miss lets its call have an attempt outside the budget. One that was sent at the same
-    /// moment is that one.
+    /// Records a miss, which entitles its call to an attempt outside the budget. If an attempt was
+    /// already charged at the same time, it is refunded instead.
     pub(crate) fn record_miss(&mut self, call: &mut Call, now: Time) {
-        let sent_now = call
+        let charged_now = call
             .attempts
             .last_mut()
             .filter(|attempt| attempt.charged && attempt.sent == now);
-        match sent_now {
+        match charged_now {
             Some(attempt) => {
                 attempt.charged = false;
                 self.additional_attempts.pop_back();
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Charges an attempt made now, if the budget is limited and no miss excuses it; tells whether
-    /// it did.
+    /// Charges an attempt sent now, unless it is the call's first, the budget is unlimited, or a
+    /// miss entitles the call to it; returns whether it was charged.
     pub(crate) fn charge(&mut self, call: &mut Call, now: Time) -> bool {
         let charged =
             self.is_limited() && !call.attempts.is_empty() && call.uncharged_attempts == 0;
@@ -67,8 +67,8 @@
         charged
     }
 
-    /// Whether one more may be made now. Both ends of the window count against it, as it may be
-    /// read either way.
+    /// Returns whether one more additional attempt may be made now. Whether the ends of the window
+    /// belong to it is not specified, so the stricter reading is used for calls and for attempts.
     pub(crate) fn allows(&self, now: Time) -> bool {
         if !self.is_limited() {
             return true;
@@ -81,6 +81,6 @@
             .partition_point(|at| now - *at > window);
         let additional = self.additional_attempts.len() - expired_attempts;
         let allowed = self.config.free + self.config.ratio * calls as f64;
-        additional < MAX_REMEMBERED && additional as f64 + 1.0 <= allowed
+        additional < MAX_RECORDED && additional as f64 + 1.0 <= allowed
     }
 }
--- a/crates/policy/src/retry_budget/tests.rs
+++ b/crates/policy/src/retry_budget/tests.rs
@@ -2,7 +2,7 @@
 use crate::attempt::{Attempt, AttemptCause};
 use crate::endpoint::ServerIndex;
 
-fn attempts(budget: &mut RetryBudget) -> usize {
+fn recorded_after_many_calls(budget: &mut RetryBudget) -> usize {
     for i in 0..200_000 {
         let attempt = Attempt::new(ServerIndex(1), Time(i), AttemptCause::Routed);
         let mut call = Call {
@@ -18,9 +18,9 @@
 }
 
 #[test]
-fn what_a_budget_counts_is_bounded_and_without_one_nothing_is_kept() {
-    assert_eq!(attempts(&mut RetryBudget::default()), 0);
-    let mut long = RetryBudget {
+fn limited_budget_bounds_its_records_and_unlimited_keeps_none() {
+    assert_eq!(recorded_after_many_calls(&mut RetryBudget::default()), 0);
+    let mut one_day = RetryBudget {
         config: RetryBudgetConfig {
             window: Span::ms(86_400_000),
             free: 1e9,
@@ -28,5 +28,5 @@
         },
         ..RetryBudget::default()
     };
-    assert_eq!(attempts(&mut long), 2 * MAX_REMEMBERED);
+    assert_eq!(recorded_after_many_calls(&mut one_day), 2 * MAX_RECORDED);
 }
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -1,6 +1,6 @@
-//! The rules that every attempt and every answer keeps. `Balancer::send_attempt` asks for rules 1
-//! to 3 before it dispatches, `Balancer::give_up` for rule 2 before it answers; rule 4 is asked for
-//! when a server is selected, by
+//! The rules that every attempt and every response must obey. `Balancer::send_attempt` checks rules
+//! 1 to 3 before it dispatches, and `Balancer::give_up` checks rule 2 before it responds. Rule 4 is
+//! checked when a server is selected, by
 //! [`SlowStart::has_credit`](crate::slow_start::SlowStart::has_credit) and
 //! [`Origin::has_slot`](crate::origin::Origin::has_slot).
 use crate::call::Call;
@@ -9,18 +9,20 @@
 use crate::server::Server;
 use crate::time::{Span, Time};
 
-/// Kept in reserve of a deduplication window, for delays between the decision and the last byte.
+/// Safety margin of a deduplication window, for delays between the decision and the last byte of
+/// the request.
 const DEDUP_WINDOW_MARGIN: Span = Span::ms(20);
-/// Stands for no limit on the time until an attempt is written.
+/// Represents an unlimited time until an attempt is written.
 const UNLIMITED: Span = Span::ms(u32::MAX as i64);
 
-/// Rule 1: every call gets one final answer in time, nothing is sent for it afterwards.
+/// Rule 1: every call gets exactly one final response in time, and nothing is sent for it
+/// afterwards.
 pub(crate) fn may_be_sent(call: &Call, now: Time) -> bool {
-    !call.finished && !call.streaming && now < call.expires
+    !call.finished && !call.streaming && now < call.client_deadline
 }
 
-/// Rule 2: no effect twice. Whether a call may be sent to this server, after what its earlier
-/// attempts may have done.
+/// Rule 2: no call takes effect twice. Returns whether a call may be sent to this server, given
+/// what its earlier attempts may have done.
 pub(crate) fn has_no_effect_twice(
     call: &Call,
     servers: &[Server],
@@ -42,7 +44,7 @@
     safe_retry_window(call, now) > Span::ZERO && (shares_deduplication || !needs_deduplication)
 }
 
-/// Rule 2: for how long from now an attempt may still be written without an effect taking place
+/// Rule 2: returns how long from now an attempt may still be written without the call taking effect
 /// twice.
 pub(crate) fn safe_retry_window(call: &Call, now: Time) -> Span {
     let window = Span(call.product.dedup_window.0 - DEDUP_WINDOW_MARGIN.0);
@@ -54,7 +56,7 @@
     }
 }
 
-/// Rule 2: whether a call may be answered as rejected without effect, by which the client learns
+/// Rule 2: returns whether a call may be rejected as having had no effect, which tells the client
 /// that it may retry.
 pub(crate) fn may_be_rejected(call: &Call, now: Time) -> bool {
     let retry_reaches_deduplication = call.product.idempotency == Idempotency::Idempotent
@@ -63,7 +65,7 @@
         || retry_reaches_deduplication && safe_retry_window(call, now) > Span::ZERO
 }
 
-/// Rule 3: nothing new to a draining or gone server.
+/// Rule 3: no new attempts go to a draining or gone server.
 pub(crate) fn accepts_new_attempts(server: &Server) -> bool {
     server.state == EndpointState::Ready
 }
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -1,4 +1,4 @@
-//! What is kept of a server.
+//! The state of a server.
 use crate::endpoint::EndpointState;
 use crate::evidence::Evidence;
 use crate::time::{Span, Time};
@@ -12,41 +12,44 @@
     pub(crate) cell: u32,
     /// Capacity relative to other servers.
     pub(crate) scale: f64,
-    /// When it started, as the endpoint list says.
+    /// Start time according to the endpoint list.
     pub(crate) started: Option<Time>,
-    /// The latest that it can have started, as clocks differ.
+    /// Latest possible start time, allowing for clock differences; its slow start is measured from
+    /// it.
     pub(crate) slow_start_from: Option<Time>,
-    /// Between 0 and 1, by the hash of its id; none where the index is not used.
+    /// Position of its id's hash between 0 and 1; `None` if the index is unused.
     pub(crate) initial_position: Option<f64>,
     /// Exponential moving average of the positions of the keys sent to it.
     pub(crate) moving_average: f64,
     pub(crate) in_flight: u32,
-    /// Attempts here of calls that are not released yet.
+    /// Number of attempts at this server of calls that are not released yet.
     pub(crate) pending_attempts: u32,
     /// When it was last in the endpoint list or had a pending attempt.
     pub(crate) last_listed: Time,
-    /// Since when the endpoint list calls it gone, or since its last good answer from then on.
+    /// When the endpoint list marked it as gone, or its last good response after that.
     pub(crate) delisted_since: Option<Time>,
-    /// An idle connection to it may be open.
+    /// Whether an idle connection to it may be open.
     pub(crate) connected: bool,
     /// When an attempt was last sent or ended.
     pub(crate) last_used: Time,
-    /// Connections it refused since it last answered.
+    /// Number of connections that it has refused since its last response.
     pub(crate) refused_connections: u32,
-    /// Since when it is silent although attempts are in flight.
+    /// When it last responded, or was first sent an attempt, if attempts are in flight; `None` if
+    /// there are none.
     pub(crate) silent_since: Option<Time>,
-    /// Attempts in flight when it last rejected one as overloaded.
+    /// Number of attempts in flight when it last rejected one as overloaded; infinite if it never
+    /// has.
     pub(crate) capacity: f64,
     pub(crate) overloaded_at: Time,
-    /// How its attempts went lately.
+    /// Outcomes of its recent attempts.
     pub(crate) evidence: Evidence,
-    /// Attempts that it may be sent while it warms up.
+    /// Number of attempts that it may be sent during its slow start.
     pub(crate) slow_start_credit: f64,
     pub(crate) credit_updated: Time,
 }
 
 impl Server {
-    /// One that nothing is known of, and nothing against its capacity.
+    /// Returns a server about which nothing is known, with unlimited capacity.
     pub(crate) fn unknown() -> Server {
         Server {
             capacity: f64::INFINITY,
@@ -54,17 +57,17 @@
         }
     }
 
-    /// Whether its index is used.
+    /// Returns whether its index is in use.
     pub(crate) fn is_known(&self) -> bool {
         self.initial_position.is_some()
     }
 
-    /// Whether a connection to it may be open and idle.
+    /// Returns whether an idle connection to it may be open.
     pub(crate) fn is_idle(&self, now: Time, keepalive: Span) -> bool {
         self.connected && self.in_flight == 0 && now - self.last_used < keepalive
     }
 
-    /// Counts an attempt that is sent now.
+    /// Records an attempt that is sent now.
     pub(crate) fn record_dispatch(&mut self, now: Time) {
         self.in_flight += 1;
         self.pending_attempts += 1;
--- a/crates/policy/src/time.rs
+++ b/crates/policy/src/time.rs
@@ -1,45 +1,45 @@
-//! Points in time and lengths of time, in whole microseconds of the caller's clock.
+//! Points in time and durations, in whole microseconds of the caller's clock.
 use std::ops::{Add, Sub};
 
 /// A point in time, in microseconds of the caller's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Time(pub i64);
 
-/// A length of time, in microseconds.
+/// A duration, in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Span(pub i64);
 
 impl Time {
-    /// The point `ms` milliseconds after the start of the clock.
+    /// Returns the point in time `ms` milliseconds after the start of the clock.
     pub fn from_ms(ms: f64) -> Time {
         Time((ms * 1000.0).round() as i64)
     }
-    /// Milliseconds since the start of the clock.
+    /// Returns the milliseconds since the start of the clock.
     pub fn ms(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 }
 
 impl Span {
-    /// No time at all.
+    /// The zero duration.
     pub const ZERO: Span = Span(0);
-    /// A whole number of milliseconds.
+    /// Returns a duration of `ms` whole milliseconds.
     pub const fn ms(ms: i64) -> Span {
         Span(ms * 1000)
     }
-    /// Milliseconds, rounded to whole microseconds.
+    /// Returns a duration of `ms` milliseconds, rounded to whole microseconds.
     pub fn from_ms(ms: f64) -> Span {
         Span((ms * 1000.0).round() as i64)
     }
-    /// In milliseconds.
+    /// Returns the duration in milliseconds.
     pub fn as_ms(self) -> f64 {
         self.0 as f64 / 1000.0
     }
-    /// In seconds.
+    /// Returns the duration in seconds.
     pub fn seconds(self) -> f64 {
         self.0 as f64 / 1e6
     }
-    /// Multiplied by `factor`, rounded towards zero.
+    /// Returns the duration multiplied by `factor`, rounded towards zero.
     pub fn times(self, factor: f64) -> Span {
         Span((self.0 as f64 * factor) as i64)
     }
--- a/crates/policy/src/zone_health.rs
+++ b/crates/policy/src/zone_health.rs
@@ -1,13 +1,14 @@
-//! How well each zone can be reached from this node, whichever of its servers is asked.
+//! How well each zone can be reached from this node, over all of the zone's servers.
 use rustc_hash::FxHashMap;
 
 use crate::evidence::{Evidence, MAX_EVIDENCE};
 use crate::outlier_detection::OUTLIER_SUCCESS_RATIO;
 
-/// Good outcomes that are weighed against a zone's own: two failures in a row say little.
+/// Assumed successes that are combined with a zone's own outcomes, since two failures in a row are
+/// little evidence.
 const PRIOR_SUCCESSES: f64 = 4.0;
 
-/// Attempts at a zone's servers that were answered in good time, and others.
+/// Outcomes of attempts at a zone's servers: good if a response arrived in good time.
 #[derive(Default)]
 pub(crate) struct ZoneHealth {
     pub(crate) evidence: Evidence,
@@ -27,23 +28,23 @@
 }
 
 impl ZoneHealthTable {
-    /// Records how an attempt at one of a zone's servers went.
+    /// Records how an attempt at one of a zone's servers ended.
     pub(crate) fn record(&mut self, zone: u32, good: bool) {
         self.zones.entry(zone).or_default().evidence.record(good);
     }
 
-    /// The zone's health if it is reached badly while another zone is reached well; a fault of all
-    /// zones is no fault of the path to one.
+    /// Returns the zone's health if it is hard to reach while another zone is not. A fault that
+    /// affects all zones is not a fault of the path to one.
     pub(crate) fn outlier(&self, zone: u32) -> Option<&ZoneHealth> {
         self.zones.get(&zone).filter(|health| health.is_outlier)
     }
 
-    /// Whether this zone is reached badly while another is reached well.
+    /// Returns whether this zone is hard to reach while another one is not.
     pub(crate) fn is_outlier(&self, zone: u32) -> bool {
         self.outlier(zone).is_some()
     }
 
-    /// Compares the zones and lets what was recorded lose weight.
+    /// Compares the zones with each other and decays what was recorded.
     pub(crate) fn tick(&mut self, kept_ratio: f64) {
         let best = self
             .zones
