--- a/crates/settings/src/call_table.rs
+++ b/crates/settings/src/call_table.rs
@@ -1,9 +1,9 @@
-//! Open API calls under small indices.
+//! A table of open API calls with small indices.
 use quartzhub_policy::CallIndex;
 
 use crate::slab::Slab;
 
-/// What is kept of each open API call, under an index that is free again once it is taken out.
+/// A table with a record for each open API call; the index of a removed call may be reused.
 #[derive(Debug)]
 pub struct CallTable<T>(Slab<T>);
 
@@ -14,32 +14,32 @@
 }
 
 impl<T> CallTable<T> {
-    /// Adds a record and gives its index.
+    /// Adds a record and returns its index.
     pub fn insert(&mut self, record: T) -> CallIndex {
         CallIndex(self.0.insert(record))
     }
 
-    /// Takes a record out.
+    /// Removes a record and returns it.
     pub fn remove(&mut self, index: CallIndex) -> Option<T> {
         self.0.remove(index.0)
     }
 
-    /// The record of an index.
+    /// Returns the record at an index.
     pub fn get(&self, index: CallIndex) -> Option<&T> {
         self.0.get(index.0)
     }
 
-    /// The record of an index, to be changed.
+    /// Returns the record at an index, mutably.
     pub fn get_mut(&mut self, index: CallIndex) -> Option<&mut T> {
         self.0.get_mut(index.0)
     }
 
-    /// Number of records.
+    /// Returns the number of records.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every program that drives the policy needs: settings are read into the policy's typed
-//! configuration, and names and ids become small indices.
+//! Code shared by all programs that embed the policy: conversion of settings into the policy's
+//! typed configuration, and tables that map names and ids to small indices.
 #![deny(missing_docs)]
 mod call_table;
 mod endpoint_entry;
--- a/crates/settings/src/name_table.rs
+++ b/crates/settings/src/name_table.rs
@@ -1,10 +1,10 @@
-//! Names that the settings give, and their places.
+//! Names of products, tenants, zones and machine kinds from the settings, and their indices.
 use quartzhub_policy::{Endpoint, ServerIndex};
 
 use crate::endpoint_entry::EndpointEntry;
 use crate::settings::Settings;
 
-/// A name's place among `names`, or one beyond them all.
+/// Returns the index of a name in `names`, or `usize::MAX` if it is missing.
 pub fn index_of(names: &[String], name: Option<&str>) -> usize {
     names
         .iter()
@@ -12,21 +12,21 @@
         .unwrap_or(usize::MAX)
 }
 
-/// The names that the settings give, in their order.
+/// The names in the settings, in their order.
 #[derive(Debug, Default)]
 pub struct NameTable {
-    /// Products.
+    /// Names of products.
     pub products: Vec<String>,
-    /// Tenants.
+    /// Names of tenants.
     pub tenants: Vec<String>,
-    /// Zones, also those that earlier settings named.
+    /// Names of zones, including those of earlier settings.
     pub zones: Vec<String>,
-    /// Machine kinds.
+    /// Names of machine kinds.
     pub kinds: Vec<String>,
 }
 
 impl NameTable {
-    /// The names that these settings give.
+    /// Returns the names in these settings.
     pub fn new(settings: &Settings) -> NameTable {
         let names = |list: &str, field: &str| {
             let name = |i| settings.text(&format!("{list}.{i}{field}")).to_owned();
@@ -40,8 +40,9 @@
         }
     }
 
-    /// Takes over other settings. A zone that was known keeps its place: servers known by it must
-    /// not seem to stand in another's, since repeats may be dropped zone by zone.
+    /// Replaces the names with those of other settings. A zone keeps its index, even if it is no
+    /// longer named: otherwise a server known by that index would appear to be in another zone,
+    /// although repeats of a call may be discarded only within its zone.
     pub fn update(&mut self, settings: &Settings) {
         let NameTable {
             products,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// An entry of the endpoint list as the policy reads it.
+    /// Converts an entry of the endpoint list for the policy.
     pub fn endpoint<'a>(&self, server: ServerIndex, entry: EndpointEntry<'a>) -> Endpoint<'a> {
         Endpoint {
             server,
--- a/crates/settings/src/policy_config.rs
+++ b/crates/settings/src/policy_config.rs
@@ -1,5 +1,5 @@
-//! Reads the policy's configuration from settings. The settings' names are known here and nowhere
-//! in the policy.
+//! Reads the policy's configuration from settings. Only this module knows the names of the
+//! settings; the policy does not.
 use quartzhub_policy::{
     DedupScope, EndpointListConfig, Idempotency, PolicyConfig, Product, RetryBudgetConfig,
     SlowStartConfig, Span,
@@ -7,13 +7,13 @@
 
 use crate::settings::Settings;
 
-/// When the client gives up, where a product does not say.
+/// Client timeout of products that do not state one.
 const DEFAULT_CLIENT_TIMEOUT: Span = Span::ms(1_000);
-/// Least latency objective, so that times can be divided by it.
+/// Least latency objective, so that durations can be divided by it.
 const MIN_LATENCY_OBJECTIVE: Span = Span::ms(1);
 
-/// The policy's configuration. Missing settings get the safe reading: no duplicates, no cancelling,
-/// no Retry-After, one attempt.
+/// Returns the policy's configuration. Missing settings get safe defaults: no duplicates, no
+/// cancelling, no Retry-After, one attempt.
 pub fn policy_config(settings: &Settings) -> PolicyConfig {
     let defaults = PolicyConfig::default();
     PolicyConfig {
@@ -44,8 +44,8 @@
     }
 }
 
-/// The products in their order. A missing effect is read as non-idempotent, a missing scope as one
-/// server.
+/// Returns the products in their order. A missing effect is read as non-idempotent, a missing key
+/// scope as one server.
 pub fn products(settings: &Settings) -> Vec<Product> {
     (0..settings.count("products"))
         .map(|i| product(settings, i))
--- a/crates/settings/src/server_table.rs
+++ b/crates/settings/src/server_table.rs
@@ -1,4 +1,4 @@
-//! Servers' ids, their small indices, and what is kept of each.
+//! A table of servers by id and by small index.
 use std::ops::{Index, IndexMut};
 
 use quartzhub_policy::ServerIndex;
@@ -6,18 +6,19 @@
 
 use crate::slab::Slab;
 
-/// What is kept of each server, by its id and by its index. A server has a record exactly as long as it has an index;
-/// the index is free again once the server is released.
+/// A table with a record for each server, accessible by the server's id and by its index. A server
+/// has a record exactly as long as it has an index; the index may be reused once the server is
+/// released.
 #[derive(Debug)]
 pub struct ServerTable<T> {
     indices: FxHashMap<String, ServerIndex>,
     entries: Slab<Entry<T>>,
 }
 
-/// Servers' ids and their indices, with nothing else kept.
+/// A table that only maps servers' ids to indices.
 pub type ServerInterner = ServerTable<()>;
 
-/// A server that has an index.
+/// A server's id and its record.
 #[derive(Debug)]
 struct Entry<T> {
     id: String,
@@ -34,7 +35,7 @@
 }
 
 impl<T: Default> ServerTable<T> {
-    /// The index of this id, a new one with an empty record if it has none.
+    /// Returns the index of this id. An unknown id gets a new index with a default record.
     pub fn intern(&mut self, id: &str) -> ServerIndex {
         if let Some(index) = self.indices.get(id) {
             return *index;
@@ -50,77 +51,77 @@
 }
 
 impl<T> ServerTable<T> {
-    /// Takes a server out. The next new id may get its index.
+    /// Removes a server. Its index may be reused for the next new id.
     pub fn release(&mut self, index: ServerIndex) {
         if let Some(entry) = self.entries.remove(index.0) {
             self.indices.remove(&entry.id);
         }
     }
 
-    /// Whether this id has an index.
+    /// Returns whether this id has an index.
     pub fn contains(&self, id: &str) -> bool {
         self.indices.contains_key(id)
     }
 
-    /// Number of servers.
+    /// Returns the number of servers.
     pub fn len(&self) -> usize {
         self.indices.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.indices.is_empty()
     }
 
-    /// The id of an index, empty if it has none.
+    /// Returns the id at an index, or an empty string if the index is unused.
     pub fn id(&self, index: ServerIndex) -> &str {
         self.entries
             .get(index.0)
             .map_or("", |entry| entry.id.as_str())
     }
 
-    /// The record of an index.
+    /// Returns the record at an index.
     pub fn get(&self, index: ServerIndex) -> Option<&T> {
         Some(&self.entries.get(index.0)?.record)
     }
 
-    /// The record of an index, to be changed.
+    /// Returns the record at an index, mutably.
     pub fn get_mut(&mut self, index: ServerIndex) -> Option<&mut T> {
         Some(&mut self.entries.get_mut(index.0)?.record)
     }
 
-    /// All servers, in the order of their indices.
+    /// Iterates over all servers in the order of their indices.
     pub fn iter(&self) -> impl Iterator<Item = (ServerIndex, &T)> {
         self.entries
             .iter()
             .map(|(index, entry)| (ServerIndex(index), &entry.record))
     }
 
-    /// All servers, in the order of their indices, to be changed.
+    /// Iterates mutably over all servers in the order of their indices.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (ServerIndex, &mut T)> {
         self.entries
             .iter_mut()
             .map(|(index, entry)| (ServerIndex(index), &mut entry.record))
     }
 
-    /// What the table occupies.
+    /// Returns the memory used by the table, in records.
     #[cfg(test)]
     pub(crate) fn footprint(&self) -> crate::slab::Footprint {
         self.entries.footprint()
     }
 }
 
-/// Panics for an index that no server has.
+/// Panics if the index is unused.
 impl<T> Index<ServerIndex> for ServerTable<T> {
     type Output = T;
 
     fn index(&self, index: ServerIndex) -> &T {
-        self.get(index).expect("a server of this index")
+        self.get(index).expect("the index of a known server")
     }
 }
 
 impl<T> IndexMut<ServerIndex> for ServerTable<T> {
     fn index_mut(&mut self, index: ServerIndex) -> &mut T {
-        self.get_mut(index).expect("a server of this index")
+        self.get_mut(index).expect("the index of a known server")
     }
 }
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -3,18 +3,18 @@
 
 use quartzhub_policy::Span;
 
-/// A value of a setting.
+/// The value of a setting.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Value {
     /// A number.
     Number(f64),
-    /// True or false.
+    /// A boolean.
     Flag(bool),
-    /// A text.
+    /// A string.
     Text(String),
 }
 
-/// Settings by their dotted names; spans are in milliseconds.
+/// Settings by their dotted names; durations are in milliseconds.
 #[derive(Debug, Clone, Default)]
 pub struct Settings(pub BTreeMap<String, Value>);
 
@@ -48,7 +48,7 @@
         self.0.insert(name, value);
     }
 
-    /// A finite number, or the default.
+    /// Returns a finite number, or the default.
     pub fn number(&self, name: &str, default: f64) -> f64 {
         match self.0.get(name) {
             Some(Value::Number(number)) if number.is_finite() => *number,
@@ -56,17 +56,17 @@
         }
     }
 
-    /// A span given in milliseconds, or the default; never below zero.
+    /// Returns a duration given in milliseconds, or the default; never negative.
     pub fn span(&self, name: &str, default: Span) -> Span {
         Span::from_ms(self.number(name, default.as_ms()).max(0.0))
     }
 
-    /// Whether a flag is there and set.
+    /// Returns whether a flag is present and true.
     pub fn flag(&self, name: &str) -> bool {
         matches!(self.0.get(name), Some(Value::Flag(true)))
     }
 
-    /// A text, empty where there is none.
+    /// Returns a string, or an empty one if the setting is missing.
     pub fn text(&self, name: &str) -> &str {
         match self.0.get(name) {
             Some(Value::Text(text)) => text,
@@ -74,20 +74,20 @@
         }
     }
 
-    /// How many nodes there are; one where the settings do not say.
+    /// Returns the number of nodes, or 1 if the settings do not state it.
     pub fn nodes(&self) -> f64 {
         self.number("balancers", 1.0).max(1.0)
     }
 
-    /// How many entries stand under `name.0`, `name.1`, and so on.
+    /// Returns the number of consecutive list entries `name.0`, `name.1` and so on.
     pub fn count(&self, name: &str) -> usize {
-        let has = |i: &usize| {
-            let from = format!("{name}.{i}");
-            let under = format!("{from}.");
-            let next = self.0.range(from.clone()..).next();
-            next.is_some_and(|(key, _)| *key == from || key.starts_with(&under))
+        let exists = |i: &usize| {
+            let entry = format!("{name}.{i}");
+            let prefix = format!("{entry}.");
+            let next = self.0.range(entry.clone()..).next();
+            next.is_some_and(|(key, _)| *key == entry || key.starts_with(&prefix))
         };
-        (0..).take_while(has).count()
+        (0..).take_while(exists).count()
     }
 }
 
--- a/crates/settings/src/slab.rs
+++ b/crates/settings/src/slab.rs
@@ -1,15 +1,15 @@
-//! Records under small indices.
+//! Storage of records with small, reusable indices.
 use std::collections::BTreeSet;
 
-/// Records under small indices. The lowest free one is given out first, so that the table shrinks
-/// again.
+/// Records with small, reusable indices. The lowest free index is assigned first, so that the
+/// storage can shrink again.
 #[derive(Debug)]
 pub(crate) struct Slab<T> {
     records: Vec<Option<T>>,
     free: BTreeSet<usize>,
 }
 
-/// What a slab occupies, in records.
+/// The memory used by a slab, in records.
 #[cfg(test)]
 pub(crate) struct Footprint {
     pub(crate) records: usize,
@@ -27,7 +27,7 @@
 }
 
 impl<T> Slab<T> {
-    /// Adds a record and gives its index.
+    /// Adds a record and returns its index.
     pub(crate) fn insert(&mut self, record: T) -> usize {
         let index = self.free.pop_first().unwrap_or(self.records.len());
         if index == self.records.len() {
@@ -37,7 +37,7 @@
         index
     }
 
-    /// Takes a record out; its index is free again.
+    /// Removes a record and returns it; its index may be reused.
     pub(crate) fn remove(&mut self, index: usize) -> Option<T> {
         let record = self.records.get_mut(index)?.take()?;
         self.free.insert(index);
@@ -51,17 +51,17 @@
         Some(record)
     }
 
-    /// The record of an index.
+    /// Returns the record at an index.
     pub(crate) fn get(&self, index: usize) -> Option<&T> {
         self.records.get(index)?.as_ref()
     }
 
-    /// The record of an index, to be changed.
+    /// Returns the record at an index, mutably.
     pub(crate) fn get_mut(&mut self, index: usize) -> Option<&mut T> {
         self.records.get_mut(index)?.as_mut()
     }
 
-    /// All records, in the order of their indices.
+    /// Iterates over all records in the order of their indices.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (usize, &T)> {
         self.records
             .iter()
@@ -69,7 +69,7 @@
             .filter_map(|(index, record)| Some((index, record.as_ref()?)))
     }
 
-    /// All records, in the order of their indices, to be changed.
+    /// Iterates mutably over all records in the order of their indices.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = (usize, &mut T)> {
         self.records
             .iter_mut()
@@ -77,12 +77,12 @@
             .filter_map(|(index, record)| Some((index, record.as_mut()?)))
     }
 
-    /// Number of records.
+    /// Returns the number of records.
     pub(crate) fn len(&self) -> usize {
         self.records.len() - self.free.len()
     }
 
-    /// What it occupies, also for records that were taken out.
+    /// Returns the memory used, including that of removed records.
     #[cfg(test)]
     pub(crate) fn footprint(&self) -> Footprint {
         Footprint {
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn zones_keep_their_places_under_other_settings() {
+fn zones_keep_their_indices_when_settings_change() {
     let before = r#"{"Localities":["a","b"],"Kinds":["box","origin"]}"#;
     let mut names = NameTable::new(&settings(before));
     names.update(&settings(r#"{"Localities":["c","b"],"Kinds":["origin"]}"#));
@@ -17,12 +17,12 @@
 }
 
 #[test]
-fn indices_are_given_out_again_and_the_table_shrinks() {
+fn server_table_reuses_indices_and_shrinks() {
     let mut servers = ServerInterner::default();
-    let many: Vec<_> = (0..1000)
+    let indices: Vec<_> = (0..1000)
         .map(|i| servers.intern(&format!("s{i}")))
         .collect();
-    many.iter().for_each(|index| servers.release(*index));
+    indices.iter().for_each(|index| servers.release(*index));
     let Footprint {
         records,
         free,
