--- a/crates/policy/src/config.rs
+++ b/crates/policy/src/config.rs
@@ -76,16 +76,16 @@
     /// Length of the window; zero if there is no limit.
     pub window: Span,
     /// Additional attempts that are always allowed within a window.
-    pub free: f64,
+    pub free_attempts: f64,
     /// Additional attempts allowed for each API call received within the window.
-    pub ratio: f64,
+    pub attempts_per_call: f64,
 }
 
 /// The load that a recently started server can bear.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowStartConfig {
     /// Fraction of its full load that it can bear at the start, from 0 to 1.
-    pub initial_share: f64,
+    pub initial_load_ratio: f64,
     /// Time until it can bear its full load.
     pub duration: Span,
 }
@@ -93,7 +93,7 @@
 impl Default for SlowStartConfig {
     fn default() -> SlowStartConfig {
         SlowStartConfig {
-            initial_share: 0.0,
+            initial_load_ratio: 0.0,
             duration: Span::ms(60_000),
         }
     }
@@ -104,15 +104,15 @@
 pub struct EndpointListConfig {
     /// Whether the node has to poll for updates; otherwise they are pushed.
     pub polled: bool,
-    /// Time within which the node has to poll.
-    pub poll_within: Span,
+    /// Longest permitted time until the node polls.
+    pub poll_interval: Span,
 }
 
 impl Default for EndpointListConfig {
     fn default() -> EndpointListConfig {
         EndpointListConfig {
             polled: false,
-            poll_within: Span::ms(5_000),
+            poll_interval: Span::ms(5_000),
         }
     }
 }
--- a/crates/policy/src/endpoint_list_poller.rs
+++ b/crates/policy/src/endpoint_list_poller.rs
@@ -4,7 +4,7 @@
 use crate::pcg::Pcg;
 use crate::time::Time;
 
-/// Fraction of `poll_within` over which the nodes' polls are spread.
+/// Fraction of `poll_interval` over which the nodes' polls are spread.
 const SPREAD_RATIO: f64 = 0.5;
 /// Factor by which that time grows with each failure in a row.
 const BACKOFF_FACTOR: f64 = 2.0;
@@ -38,7 +38,7 @@
     fn schedule(&mut self, now: Time, rng: &mut Pcg) {
         let backoff = BACKOFF_FACTOR.powi(self.failures.min(MAX_BACKOFF_FAILURES) as i32);
         let delay_ratio = SPREAD_RATIO * backoff * rng.unit();
-        self.next_poll = now + self.config.poll_within.times(delay_ratio);
+        self.next_poll = now + self.config.poll_interval.times(delay_ratio);
     }
 
     /// Records an update: the first one after a poll confirms the subscription.
@@ -59,7 +59,7 @@
     pub(crate) fn tick(&mut self, now: Time, actions: &mut impl PolicyActions) {
         if self.config.polled && !self.subscribed && now >= self.next_poll {
             self.polled = true;
-            self.next_poll = now + self.config.poll_within;
+            self.next_poll = now + self.config.poll_interval;
             actions.poll_endpoints();
         }
     }
--- a/crates/policy/src/retry_budget.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -80,7 +80,7 @@
             .additional_attempts
             .partition_point(|at| now - *at > window);
         let additional = self.additional_attempts.len() - expired_attempts;
-        let allowed = self.config.free + self.config.ratio * calls as f64;
+        let allowed = self.config.free_attempts + self.config.attempts_per_call * calls as f64;
         additional < MAX_RECORDED && additional as f64 + 1.0 <= allowed
     }
 }
--- a/crates/policy/src/retry_budget/tests.rs
+++ b/crates/policy/src/retry_budget/tests.rs
@@ -23,8 +23,8 @@
     let mut one_day = RetryBudget {
         config: RetryBudgetConfig {
             window: Span::ms(86_400_000),
-            free: 1e9,
-            ratio: 1.0,
+            free_attempts: 1e9,
+            attempts_per_call: 1.0,
         },
         ..RetryBudget::default()
     };
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -5,8 +5,8 @@
 use crate::time::Time;
 
 /// Fraction of an average cache's traffic that a cache may get at the end of its slow start.
-const MAX_SHARE_RATIO: f64 = 0.8;
-/// Largest credit of a cache, in attempts, so that no burst uses much of it at once.
+const MAX_LOAD_RATIO: f64 = 0.8;
+/// Largest credit of a cache, in attempts, so that accumulated credit allows no large burst.
 const MAX_CREDIT_ATTEMPTS: f64 = 2.0;
 /// Longest time for which credit is added at once.
 const MAX_CREDITED_SECONDS: f64 = 1.0;
@@ -21,9 +21,9 @@
 
 impl SlowStart {
     /// Rule 4: returns whether a cache may be sent an attempt. A warm cache always may. Before
-    /// that, its credit grows with the response rate of an average cache, reduced by its age
-    /// relative to the configured warm-up. `delisted_may_restart` means that a delisted cache may
-    /// have restarted without being listed again yet.
+    /// that, its credit grows with the response rate of an average cache, scaled down to the load
+    /// that it can bear at its age. `delisted_may_restart` means that a delisted cache may have
+    /// restarted without being listed again yet.
     ///
     /// The response rate per cache is computed with at least the mean number of caches: after
     /// caches are removed, the rate was still achieved by more of them.
@@ -41,15 +41,18 @@
         };
         let duration_seconds = self.config.duration.seconds().max(MIN_DURATION_SECONDS);
         let age = (now - started).seconds().max(0.0) / duration_seconds;
-        let warmth_ratio = self.config.initial_share + (1.0 - self.config.initial_share) * age;
-        if warmth_ratio >= 1.0 {
+        let load_ratio =
+            self.config.initial_load_ratio + (1.0 - self.config.initial_load_ratio) * age;
+        if load_ratio >= 1.0 {
             return true;
         }
         let elapsed = (now - server.credit_updated)
             .seconds()
             .clamp(0.0, MAX_CREDITED_SECONDS);
-        let share = load.responses_per_second / load.mean_cache_count.max(caches as f64).max(1.0);
-        let earned = elapsed * share * warmth_ratio * MAX_SHARE_RATIO * server.scale.min(1.0);
+        let responses_per_cache =
+            load.responses_per_second / load.mean_cache_count.max(caches as f64).max(1.0);
+        let earned =
+            elapsed * responses_per_cache * load_ratio * MAX_LOAD_RATIO * server.scale.min(1.0);
         server.slow_start_credit = (server.slow_start_credit + earned).min(MAX_CREDIT_ATTEMPTS);
         server.credit_updated = now;
         server.slow_start_credit >= 1.0
--- a/crates/policy/tests/decisions/common.rs
+++ b/crates/policy/tests/decisions/common.rs
@@ -1,4 +1,4 @@
-//! A node under test: hands events to the balancer and keeps its actions as printed lines.
+//! A node under test: passes events to the balancer and records its actions as lines of text.
 use std::fmt::Write;
 
 use expect_test::Expect;
@@ -8,7 +8,7 @@
 };
 use quartzhub_settings::{policy_config, Settings, Value};
 
-/// Prints the actions that a balancer calls.
+/// Records the actions of a balancer as text.
 #[derive(Default)]
 pub struct Trace(pub String);
 
@@ -31,52 +31,53 @@
         let _ = writeln!(self.0, "  call {} cancels attempt {attempt}", call.0);
     }
     fn rate_limit(&mut self, call: CallIndex, retry_after: Option<Span>) {
-        let said = if retry_after.is_some() {
-            ", told when to come back"
+        let suffix = if retry_after.is_some() {
+            " with Retry-After"
         } else {
             ""
         };
-        let _ = writeln!(self.0, "  call {} rate-limited{said}", call.0);
+        let _ = writeln!(self.0, "  call {} rate-limited{suffix}", call.0);
     }
     fn fail(&mut self, call: CallIndex) {
-        let _ = writeln!(self.0, "  call {} errored", call.0);
+        let _ = writeln!(self.0, "  call {} failed", call.0);
     }
     fn release_call(&mut self, _call: CallIndex) {}
     fn release_server(&mut self, server: ServerIndex) {
-        let _ = writeln!(self.0, "  server {} dropped", server.0);
+        let _ = writeln!(self.0, "  server {} released", server.0);
     }
     fn set_timer(&mut self, _after: Span) {}
     fn poll_endpoints(&mut self) {
-        let _ = writeln!(self.0, "  asks for the list's changes");
+        let _ = writeln!(self.0, "  polls for the endpoint list");
     }
     fn close_idle_connections(&mut self, server: ServerIndex) {
         let _ = writeln!(self.0, "  connections to server {} closed", server.0);
     }
 }
 
-/// A node under test, at a time of its own.
+/// A node under test, with a clock of its own.
 pub struct Node {
     pub balancer: Balancer,
     pub trace: Trace,
     pub now: f64,
-    /// The tenant of the calls from now on.
+    /// The tenant of subsequent calls.
     pub tenant: usize,
 }
 
-/// Product 0 is an idempotent read, 1 a deduplicated write, 2 a non-idempotent write, 3 a read
-/// worth nothing late.
+/// Returns the configuration of the tests: product 0 is an idempotent read, 1 a deduplicated write,
+/// 2 a non-idempotent write, and 3 a read whose late responses are worth nothing. `extra` adds or
+/// replaces settings.
 pub fn config(extra: &[(&str, Value)]) -> PolicyConfig {
     let mut map = Settings::default();
     let effects = ["idempotent", "deduplicated", "at_most_once", "idempotent"];
     for (i, effect) in effects.iter().enumerate() {
-        let mut set = |field: &str, value| map.0.insert(format!("products.{i}.{field}"), value);
-        set("effect", Value::Text(effect.to_string()));
-        set("key_scope", Value::Text("all".into()));
-        set("latency_slo", Value::Number(400.0));
-        set("client_timeout", Value::Number(2000.0));
-        set("window", Value::Number(500.0));
-        set("billed_value", Value::Number(1.0));
-        set(
+        let mut insert = |field: &str, value| map.0.insert(format!("products.{i}.{field}"), value);
+        insert("effect", Value::Text(effect.to_string()));
+        insert("key_scope", Value::Text("all".into()));
+        insert("latency_slo", Value::Number(400.0));
+        insert("client_timeout", Value::Number(2000.0));
+        insert("window", Value::Number(500.0));
+        insert("billed_value", Value::Number(1.0));
+        insert(
             "tardy_billed_value",
             Value::Number(if i == 3 { 0.0 } else { 0.5 }),
         );
@@ -102,7 +103,7 @@
     policy_config(&map)
 }
 
-/// An entry of the endpoint list; servers 0 and 6 are origins.
+/// Returns an entry of the endpoint list; servers 0 and 6 are origins.
 pub fn endpoint(server: usize, state: EndpointState, started: Option<f64>) -> Endpoint<'static> {
     const NAMES: [&str; 8] = [
         "10.0.0.0:1",
@@ -131,7 +132,7 @@
 }
 
 impl Node {
-    /// Server 0 is the origin, 1 to `caches` are warm caches.
+    /// Returns a node where server 0 is the origin and servers 1 to `caches` are warm caches.
     pub fn new(caches: usize, extra: &[(&str, Value)]) -> Node {
         let mut node = Node {
             balancer: Balancer::new(&config(extra), 7),
@@ -140,46 +141,43 @@
             tenant: 0,
         };
         node.balancer.start(Time(0), &mut node.trace);
-        let lines = (0..=caches).map(|server| endpoint(server, EndpointState::Ready, None));
+        let endpoints = (0..=caches).map(|server| endpoint(server, EndpointState::Ready, None));
         node.balancer
-            .on_endpoint_list(Time(0), true, lines, &mut node.trace);
+            .on_endpoint_list(Time(0), true, endpoints, &mut node.trace);
         node
     }
     /// Adds a line to the trace.
-    pub fn say(&mut self, what: &str) {
+    pub fn note(&mut self, what: &str) {
         let _ = writeln!(self.trace.0, "{} ms: {what}", self.now);
     }
-    /// The time now.
-    pub fn at(&self) -> Time {
+    /// Returns the current time.
+    pub fn time(&self) -> Time {
         Time::from_ms(self.now)
     }
-    /// A complete update of the endpoint list.
-    pub fn list_complete(&mut self, lines: &[Endpoint]) {
-        self.balancer
-            .on_endpoint_list(self.at(), true, lines.iter().copied(), &mut self.trace);
+    /// Applies a complete update of the endpoint list.
+    pub fn replace_list(&mut self, endpoints: &[Endpoint]) {
+        self.balancer.on_endpoint_list(
+            self.time(),
+            true,
+            endpoints.iter().copied(),
+            &mut self.trace,
+        );
     }
-    /// An update of the endpoint list that names what has changed.
-    pub fn list(&mut self, lines: &[Endpoint]) {
+    /// Applies an update of the endpoint list that contains only the changed entries.
+    pub fn update_list(&mut self, endpoints: &[Endpoint]) {
         let at = Time::from_ms(self.now);
         self.balancer
-            .on_endpoint_list(at, false, lines.iter().copied(), &mut self.trace);
-    }
-    /// An API call whose client waits for two seconds.
-    pub fn request(&mut self, call: usize, product: usize, key: &str, client_retry: bool) {
-        self.send_request(call, product, key, client_retry, 2000);
-    }
-    /// An API call whose client waits for so long.
-    pub fn request_within(&mut self, call: usize, product: usize, key: &str, ms: i64) {
-        self.send_request(call, product, key, false, ms);
-    }
-    fn send_request(
-        &mut self,
-        call: usize,
-        product: usize,
-        key: &str,
-        client_retry: bool,
-        ms: i64,
-    ) {
+            .on_endpoint_list(at, false, endpoints.iter().copied(), &mut self.trace);
+    }
+    /// Makes an API call with a client timeout of two seconds.
+    pub fn call(&mut self, call: usize, product: usize, key: &str, client_retry: bool) {
+        self.send_call(call, product, key, client_retry, 2000);
+    }
+    /// Makes an API call with a client timeout of `ms` milliseconds.
+    pub fn call_within(&mut self, call: usize, product: usize, key: &str, ms: i64) {
+        self.send_call(call, product, key, false, ms);
+    }
+    fn send_call(&mut self, call: usize, product: usize, key: &str, client_retry: bool, ms: i64) {
         let write = product == 1 || product == 2;
         let request = CallRequest {
             product,
@@ -196,13 +194,13 @@
             &mut self.trace,
         );
     }
-    /// The result of an attempt; a success is the call's final answer.
-    pub fn end(&mut self, call: usize, attempt: usize, outcome: Outcome, took: f64) {
+    /// Reports the end of an attempt; a success is the call's final response.
+    pub fn end_attempt(&mut self, call: usize, attempt: usize, outcome: Outcome, latency_ms: f64) {
         let call_finished = outcome == Outcome::Success;
         let result = AttemptResult {
             attempt,
             outcome,
-            latency: Span::from_ms(took),
+            latency: Span::from_ms(latency_ms),
             call_finished,
         };
         self.balancer.on_attempt_result(
@@ -212,8 +210,8 @@
             &mut self.trace,
         );
     }
-    /// Lets time pass, tick by tick.
-    pub fn pass(&mut self, ms: f64) {
+    /// Advances the clock, with a tick every 20 ms.
+    pub fn advance(&mut self, ms: f64) {
         let until = self.now + ms;
         while self.now + 20.0 <= until {
             self.now += 20.0;
@@ -222,20 +220,20 @@
         }
         self.now = until;
     }
-    /// A second of reads without overload under other keys, unprinted, so that rates and times are
-    /// known.
-    pub fn calm(&mut self, from: usize) {
+    /// Makes a second of reads without overload, for other keys and without a trace, so that the
+    /// node has learnt response rates and response times.
+    pub fn run_light_load(&mut self, from: usize) {
         let before = self.trace.0.len();
         for i in 0..50 {
-            self.request(from + i, 0, &format!("calm-{i}"), false);
-            self.pass(20.0);
-            self.end(from + i, 0, Outcome::Success, 20.0);
+            self.call(from + i, 0, &format!("calm-{i}"), false);
+            self.advance(20.0);
+            self.end_attempt(from + i, 0, Outcome::Success, 20.0);
         }
         self.trace.0.truncate(before);
     }
 }
 
 /// Compares the trace with the expected one.
-pub fn check(node: Node, expected: Expect) {
+pub fn assert_trace(node: Node, expected: Expect) {
     expected.assert_eq(&node.trace.0);
 }
--- a/crates/policy/tests/decisions/fleet.rs
+++ b/crates/policy/tests/decisions/fleet.rs
@@ -1,4 +1,4 @@
-//! Many nodes that send reads to the same servers, each with its own balancer.
+//! A fleet of nodes that send reads to the same servers, each with its own balancer.
 use quartzhub_policy::{
     AttemptResult, Balancer, CallIndex, CallRequest, Endpoint, Outcome, Span, Time,
 };
@@ -10,15 +10,15 @@
     calls: usize,
 }
 
-/// Nodes under test.
+/// The nodes under test.
 pub struct Fleet {
     nodes: Vec<FleetNode>,
-    /// What the nodes do besides the reads that are looked at.
+    /// Discarded actions, other than those of the reads under test.
     ignored: Trace,
 }
 
 impl Fleet {
-    /// A node for each seed; all are given this endpoint list.
+    /// Returns a fleet with a node for each seed; all nodes receive this endpoint list.
     pub fn new(seeds: impl Iterator<Item = u64>, endpoints: &[Endpoint<'static>]) -> Fleet {
         let node = |seed| FleetNode {
             balancer: Balancer::new(&config(&[]), seed),
@@ -37,12 +37,12 @@
         fleet
     }
 
-    /// Number of nodes.
+    /// Returns the number of nodes.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Gives a node an update of the endpoint list.
+    /// Sends a node an update of the endpoint list.
     pub fn update_list(
         &mut self,
         node: usize,
@@ -59,13 +59,13 @@
         self.ignored.0.clear();
     }
 
-    /// Lets a node's timer run out.
+    /// Lets a node's timer expire.
     pub fn tick(&mut self, node: usize, at: Time) {
         self.nodes[node].balancer.on_timer(at, &mut self.ignored);
         self.ignored.0.clear();
     }
 
-    /// Sends a read that is answered at once, and returns the trace of it.
+    /// Makes a read that gets its response immediately, and returns its trace.
     pub fn read(&mut self, node: usize, at: Time, key: &str) -> String {
         let node = &mut self.nodes[node];
         let call = CallIndex(node.calls);
@@ -95,13 +95,17 @@
     }
 }
 
-/// The most of these moments, in ms, that lie within a second.
-pub fn most_within_a_second(moments: &[f64]) -> usize {
-    let within = |from: f64| {
-        moments
+/// Returns the largest number of these times, in ms, that lie within one second.
+pub fn max_within_a_second(times_ms: &[f64]) -> usize {
+    let count_from = |from: f64| {
+        times_ms
             .iter()
             .filter(|at| (from..from + 1_000.0).contains(*at))
             .count()
     };
-    moments.iter().map(|from| within(*from)).max().unwrap_or(0)
+    times_ms
+        .iter()
+        .map(|from| count_from(*from))
+        .max()
+        .unwrap_or(0)
 }
--- a/crates/policy/tests/decisions/main.rs
+++ b/crates/policy/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! Traces of the decisions, read by people.
+//! Tests of the policy's decisions, mostly by comparing traces of its actions with expected ones.
 mod attempts;
 mod cache_selection;
 mod common;
--- a/crates/policy/tests/decisions/servers.rs
+++ b/crates/policy/tests/decisions/servers.rs
@@ -6,41 +6,42 @@
 };
 use quartzhub_settings::Value;
 
-use crate::common::{check, endpoint, Node};
+use crate::common::{assert_trace, endpoint, Node};
 
-// Guards against more nodes than a cache takes connections from, all of which keep theirs open.
+// If there are more nodes than a cache accepts connections from, they must not all keep their idle
+// connections open.
 #[test]
-fn refused_connections_leave_few_idle_until_the_list_explains_them() {
+fn refused_connections_limit_idle_ones_until_list_shows_restart() {
     let mut node = Node::new(5, &[]);
-    node.calm(0);
-    node.say("eight connections refused: all caches keep their keys, but fewer connections stay open unused");
+    node.run_light_load(0);
+    node.note("eight connections refused: all caches keep their keys, but fewer idle connections stay open");
     for call in 100..108 {
-        node.request(call, 0, &format!("key-{call}"), false);
-        node.end(call, 0, Unreachable, 5.0);
-        node.end(call, 1, Success, 20.0);
+        node.call(call, 0, &format!("key-{call}"), false);
+        node.end_attempt(call, 0, Unreachable, 5.0);
+        node.end_attempt(call, 1, Success, 20.0);
     }
-    node.pass(200.0);
-    node.request(108, 0, "key-102", false);
-    node.end(108, 0, Success, 20.0);
-    node.say("all had died: what they cost is given back");
-    node.list(&[1, 2, 3, 4, 5].map(|server| endpoint(server, Gone, None)));
-    node.list(&[1, 2, 3, 4, 5].map(|server| endpoint(server, Ready, Some(1000.0))));
-    node.pass(30_000.0);
+    node.advance(200.0);
+    node.call(108, 0, "key-102", false);
+    node.end_attempt(108, 0, Success, 20.0);
+    node.note("all caches had crashed: the effect of the refused connections is undone");
+    node.update_list(&[1, 2, 3, 4, 5].map(|server| endpoint(server, Gone, None)));
+    node.update_list(&[1, 2, 3, 4, 5].map(|server| endpoint(server, Ready, Some(1000.0))));
+    node.advance(30_000.0);
     let before = node.trace.0.len();
     for call in 200..240 {
-        node.request(call, 0, &format!("key-{call}"), false);
-        node.pass(40.0);
-        node.end(call, 0, Success, 40.0);
+        node.call(call, 0, &format!("key-{call}"), false);
+        node.advance(40.0);
+        node.end_attempt(call, 0, Success, 40.0);
     }
     let used = (1..6)
         .filter(|s| node.trace.0[before..].contains(&format!("server {s} ")))
         .count();
     node.trace.0.truncate(before);
-    node.say(&format!("{used} caches are used again"));
-    check(
+    node.note(&format!("{used} caches are used again"));
+    assert_trace(
         node,
         expect![[r#"
-            1000 ms: eight connections refused: all caches keep their keys, but fewer connections stay open unused
+            1000 ms: eight connections refused: all caches keep their keys, but fewer idle connections stay open
               call 100 -> server 5 until 3000
               call 100 -> server 1 until 3000
               call 101 -> server 2 until 3000
@@ -60,33 +61,33 @@
               connections to server 3 closed
               connections to server 4 closed
               call 108 -> server 4 until 3200
-            1200 ms: all had died: what they cost is given back
+            1200 ms: all caches had crashed: the effect of the refused connections is undone
             32800 ms: 5 caches are used again
         "#]],
     );
 }
 
 #[test]
-fn a_gone_server_is_dropped_once_no_call_names_it_and_its_index_is_as_new() {
+fn gone_server_is_released_after_its_last_call() {
     let mut node = Node::new(2, &[("caps.cancelling", Value::Flag(false))]);
-    node.say("an attempt is out when its cache goes");
-    node.request(0, 0, "key-a", false);
-    node.list(&[endpoint(2, Gone, None)]);
-    node.pass(31_000.0);
-    node.say("it has ended");
-    node.end(0, 0, ServerError, 31_000.0);
-    node.pass(31_000.0);
-    node.say("the next under the index is known for nothing");
-    node.list(&[endpoint(2, Ready, None)]);
-    node.request(1, 0, "key-a", false);
-    check(
+    node.note("an attempt is in flight when its cache is delisted");
+    node.call(0, 0, "key-a", false);
+    node.update_list(&[endpoint(2, Gone, None)]);
+    node.advance(31_000.0);
+    node.note("the attempt has ended");
+    node.end_attempt(0, 0, ServerError, 31_000.0);
+    node.advance(31_000.0);
+    node.note("nothing is known about the next server with this index");
+    node.update_list(&[endpoint(2, Ready, None)]);
+    node.call(1, 0, "key-a", false);
+    assert_trace(
         node,
         expect![[r#"
-        0 ms: an attempt is out when its cache goes
+        0 ms: an attempt is in flight when its cache is delisted
           call 0 -> server 2 until 2000
           call 0 -> server 0 until 2000
-        31000 ms: it has ended
-        62000 ms: the next under the index is known for nothing
+        31000 ms: the attempt has ended
+        62000 ms: nothing is known about the next server with this index
           call 1 -> server 2 until 64000
     "#]],
     );
--- a/crates/policy/tests/decisions/slow_start_fleet.rs
+++ b/crates/policy/tests/decisions/slow_start_fleet.rs
@@ -1,24 +1,25 @@
-//! What all nodes together send to a cold cache, each with its part of the traffic.
+//! The load that all nodes of a fleet together, each with a fraction of the traffic, put on a cold
+//! cache.
 use quartzhub_policy::{Balancer, EndpointState, Outcome, Pcg, Time};
 
 use crate::common::{config, endpoint, Node};
-use crate::fleet::{most_within_a_second, Fleet};
+use crate::fleet::{max_within_a_second, Fleet};
 
 const CACHES: usize = 4;
-/// When cache 2 starts cold.
+/// Time at which cache 2 starts cold, in milliseconds.
 const START_AT_MS: f64 = 2_000.0;
-/// When the traffic changes.
+/// Time at which the traffic changes, in milliseconds.
 const SHIFT_AT_MS: f64 = 9_000.0;
 const END_AT_MS: f64 = 10_500.0;
-/// The start of a cache that the endpoint list says to be cold.
+/// Start time of cache 2 in the endpoint list, which marks it as cold.
 const COLD: Option<f64> = Some(START_AT_MS);
 
 /// How the traffic changes.
 #[derive(Clone, Copy, PartialEq)]
 enum Shift {
-    /// No key is the cold cache's, then all are.
+    /// At first no key belongs to the cold cache, then all keys do.
     AllKeys,
-    /// Three times as many reads come, of which a quarter are the cold cache's.
+    /// Three times as many reads arrive, a quarter of them for keys of the cold cache.
     MoreReads,
 }
 
@@ -27,11 +28,11 @@
     of_others: Vec<String>,
 }
 
-/// Keys by the cache that they go to at first, the same at all nodes.
+/// Returns keys grouped by the cache that they go to at first, which is the same at all nodes.
 fn keys() -> Keys {
     let is_cold_cache = |key: &String| {
         let mut node = Node::new(CACHES, &[]);
-        node.request(0, 0, key, false);
+        node.call(0, 0, key, false);
         node.trace.0.contains("-> server 2 ")
     };
     let (of_cold_cache, of_others) = (0..400)
@@ -43,9 +44,10 @@
     }
 }
 
-/// The most attempts at the cold cache within a second, and what it may have then: one and a half
-/// times what it can do, with twice the root and two for chance.
-fn most_sent(
+/// Returns the largest number of attempts at the cold cache within one second, and the allowed
+/// number: one and a half times its capacity, plus twice the square root of that and two for random
+/// variation.
+fn max_sent_and_allowed(
     nodes: usize,
     reads_per_second: f64,
     shift: Shift,
@@ -92,60 +94,65 @@
             }
         }
     }
-    // A cache can do twice its part of the traffic; cold at 0.3, warm after 10 s.
-    let warmth = 0.3 + 0.7 * (SHIFT_AT_MS - START_AT_MS) / 10_000.0;
-    let can = 1.5 * warmth * 2.0 * reads_per_second / CACHES as f64;
-    (most_within_a_second(&sent), can + 2.0 * can.sqrt() + 2.0)
+    // A cache's capacity is twice its share of the traffic; it starts at 0.3 of that and is warm
+    // after 10 s.
+    let warm_ratio = 0.3 + 0.7 * (SHIFT_AT_MS - START_AT_MS) / 10_000.0;
+    let max_load = 1.5 * warm_ratio * 2.0 * reads_per_second / CACHES as f64;
+    (
+        max_within_a_second(&sent),
+        max_load + 2.0 * max_load.sqrt() + 2.0,
+    )
 }
 
-/// Neither credit saved while a cold cache was not used nor more reads overload it, however the
-/// same traffic is spread over nodes.
+/// Neither credit accumulated while a cold cache was unused nor additional reads may overload it,
+/// however the same traffic is distributed over nodes.
 #[test]
-fn a_cold_cache_is_not_pushed_over_by_all_nodes_together() {
+fn cold_cache_is_not_overloaded_by_all_nodes_together() {
     for shift in [Shift::AllKeys, Shift::MoreReads] {
         for nodes in [1, 20, 30, 60, 300] {
             for (reads_per_second, seed) in
                 [(60.0, 0), (60.0, 1), (60.0, 2), (300.0, 3), (300.0, 4)]
             {
-                let (most, allowed) = most_sent(nodes, reads_per_second, shift, seed, COLD);
+                let (max_sent, allowed) =
+                    max_sent_and_allowed(nodes, reads_per_second, shift, seed, COLD);
                 assert!(
-                    (most as f64) < allowed,
-                    "{nodes} nodes, seed {seed}: {most} of {allowed:.0}"
+                    (max_sent as f64) < allowed,
+                    "{nodes} nodes, seed {seed}: {max_sent} of {allowed:.0}"
                 );
             }
         }
     }
 }
 
-/// The same without slow start: shows that these tests tell an overloaded cache.
+/// The same without slow start: shows that these tests detect an overloaded cache.
 #[test]
-fn a_cache_that_nobody_says_is_cold_is_sent_more_than_a_cold_one_may_have() {
-    let (most, allowed) = most_sent(30, 300.0, Shift::MoreReads, 3, None);
-    assert!(most as f64 > allowed, "{most} of {allowed:.0}");
+fn without_slow_start_a_cold_cache_is_overloaded() {
+    let (max_sent, allowed) = max_sent_and_allowed(30, 300.0, Shift::MoreReads, 3, None);
+    assert!(max_sent as f64 > allowed, "{max_sent} of {allowed:.0}");
 }
 
-/// Of 200 nodes with two calls a second each, some send a restarted cache a call in its first three
-/// seconds.
+/// Of 200 nodes with two calls per second each, some must send a call to a restarted cache within
+/// its first three seconds.
 #[test]
-fn a_restarted_cache_is_used_at_once_by_some_of_many_nodes_of_few_calls() {
+fn some_nodes_with_few_calls_use_restarted_cache_immediately() {
     let keys = keys();
     let uses = |seed: u64| {
         let mut node = Node::new(CACHES, &[]);
         node.balancer = Balancer::new(&config(&[]), seed);
-        node.list_complete(
+        node.replace_list(
             &[0, 1, 2, 3, 4].map(|server| endpoint(server, EndpointState::Ready, None)),
         );
         for (call, key) in keys.of_others.iter().take(20).enumerate() {
-            node.request(call, 0, key, false);
-            node.pass(500.0);
-            node.end(call, 0, Outcome::Success, 20.0);
+            node.call(call, 0, key, false);
+            node.advance(500.0);
+            node.end_attempt(call, 0, Outcome::Success, 20.0);
         }
-        node.list(&[endpoint(2, EndpointState::Ready, Some(node.now))]);
+        node.update_list(&[endpoint(2, EndpointState::Ready, Some(node.now))]);
         let before = node.trace.0.len();
         for (call, key) in keys.of_cold_cache.iter().take(6).enumerate() {
-            node.request(100 + call, 0, key, false);
-            node.pass(500.0);
-            node.end(100 + call, 0, Outcome::Success, 20.0);
+            node.call(100 + call, 0, key, false);
+            node.advance(500.0);
+            node.end_attempt(100 + call, 0, Outcome::Success, 20.0);
         }
         node.trace.0[before..].contains("-> server 2 ")
     };
--- a/crates/policy/tests/decisions/slow_start_restart.rs
+++ b/crates/policy/tests/decisions/slow_start_restart.rs
@@ -1,19 +1,19 @@
-//! A cache that starts cold as most others vanish, or that restarts over and over: answers that
-//! were earned by many caches give it no credit.
+//! A cache that starts cold when most others vanish, or that restarts repeatedly: responses that
+//! many caches achieved together must not give it credit.
 use quartzhub_policy::{Endpoint, EndpointState, Pcg, ServerIndex, Time};
 
-use crate::fleet::{most_within_a_second, Fleet};
+use crate::fleet::{max_within_a_second, Fleet};
 
 const NAMES: [&str; 14] = [
     "o", "a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m",
 ];
-/// Caches before most of them vanish.
+/// Number of caches before most of them vanish.
 const CACHES: usize = 12;
-/// The cache that starts cold.
+/// Server index of the cache that starts cold.
 const COLD_CACHE: usize = CACHES + 1;
-/// Reads of all nodes together.
+/// Reads per second of all nodes together.
 const READS_PER_SECOND: f64 = 600.0;
-/// When all caches but a cold one vanish.
+/// Time at which all but the remaining caches vanish and the cold one starts, in milliseconds.
 const VANISH_AT_MS: f64 = 3_000.0;
 const END_AT_MS: f64 = VANISH_AT_MS + 3_000.0;
 
@@ -30,9 +30,9 @@
     }
 }
 
-/// The most reads within a second that so many nodes send to the cold cache, when of the others
-/// only some remain, and when it restarts over and over, if it does.
-fn most_sent(nodes: usize, remaining: usize, restart_every_ms: Option<usize>) -> usize {
+/// Returns the largest number of reads within one second that `nodes` nodes send to the cold cache
+/// if only `remaining` of the other caches stay, and if it restarts every `restart_every_ms`.
+fn max_sent(nodes: usize, remaining: usize, restart_every_ms: Option<usize>) -> usize {
     let mut rng = Pcg::new(nodes as u64);
     let all: Vec<_> = (0..=CACHES).map(|server| ready(server, None)).collect();
     let mut fleet = Fleet::new((0..nodes).map(|i| i as u64 + 1), &all);
@@ -68,37 +68,37 @@
             }
         }
     }
-    most_within_a_second(&sent)
+    max_within_a_second(&sent)
 }
 
-/// A cache can do twice its part of the traffic, cold 0.3 of that, and fails at three times what it
-/// can.
+/// A cache's capacity is twice its share of the traffic, 0.3 of that when cold; it fails at three
+/// times its capacity.
 #[test]
-fn a_cold_cache_is_not_pushed_over_as_most_others_vanish() {
-    let can = 3.0 * 0.3 * 2.0 * READS_PER_SECOND / CACHES as f64;
-    let allowed = can + 2.0 * can.sqrt() + 2.0;
+fn cold_cache_is_not_overloaded_when_most_others_vanish() {
+    let max_load = 3.0 * 0.3 * 2.0 * READS_PER_SECOND / CACHES as f64;
+    let allowed = max_load + 2.0 * max_load.sqrt() + 2.0;
     for nodes in [1, 30, 300] {
         for remaining in [0, 1, 3] {
-            let most = most_sent(nodes, remaining, None);
+            let sent_within_a_second = max_sent(nodes, remaining, None);
             assert!(
-                (most as f64) < allowed,
-                "{nodes} nodes, {remaining} others stay: {most} of {allowed:.0}"
+                (sent_within_a_second as f64) < allowed,
+                "{nodes} nodes, {remaining} others remain: {sent_within_a_second} of {allowed:.0}"
             );
         }
     }
 }
 
-/// Each start begins a new slow start, and credit saved before is gone.
+/// Each restart begins a new slow start and discards the credit accumulated before.
 #[test]
-fn a_cache_that_starts_again_and_again_is_never_given_more_than_a_cold_one() {
-    let can = 3.0 * 0.3 * 2.0 * READS_PER_SECOND / CACHES as f64;
-    let allowed = can + 2.0 * can.sqrt() + 2.0;
+fn repeatedly_restarting_cache_gets_no_more_than_a_cold_one() {
+    let max_load = 3.0 * 0.3 * 2.0 * READS_PER_SECOND / CACHES as f64;
+    let allowed = max_load + 2.0 * max_load.sqrt() + 2.0;
     for nodes in [1, 30, 300] {
         for restart_every_ms in [50, 200, 700] {
-            let most = most_sent(nodes, CACHES, Some(restart_every_ms));
+            let sent_within_a_second = max_sent(nodes, CACHES, Some(restart_every_ms));
             assert!(
-                (most as f64) < allowed,
-                "{nodes} nodes, each {restart_every_ms} ms: {most} of {allowed:.0}"
+                (sent_within_a_second as f64) < allowed,
+                "{nodes} nodes, restart every {restart_every_ms} ms: {sent_within_a_second} of {allowed:.0}"
             );
         }
     }
--- a/crates/policy/tests/decisions/zone_paths.rs
+++ b/crates/policy/tests/decisions/zone_paths.rs
@@ -1,24 +1,24 @@
-//! Paths between zones that are slow or lossy, though the servers behind them are healthy.
+//! Network paths between zones that are slow or lossy although the servers behind them are healthy.
 use std::collections::HashMap;
 
 use crate::common::{config, endpoint, Node, Trace};
 use quartzhub_policy::{Balancer, Endpoint, EndpointState, Outcome, Time};
 use quartzhub_settings::Value;
 
-/// How attempts at a server end, and after how many ms.
-type Ends = fn(usize) -> (Outcome, f64);
+/// The outcome of attempts at a server, and their latency in milliseconds.
+type ServerBehavior = fn(usize) -> (Outcome, f64);
 
-/// An attempt whose result the node is still to be told.
+/// An attempt whose result is not reported to the node yet.
 struct Pending {
     at: f64,
     call: usize,
     attempt: usize,
     outcome: Outcome,
-    took: f64,
+    latency_ms: f64,
 }
 
-/// A node with what its servers have yet to answer. Caches 1 and 2 are in its zone; the origin
-/// (server 0) and caches 3, 4, 5 and 7 are in another.
+/// A node with the attempts that its servers have yet to complete. Caches 1 and 2 are in the node's
+/// zone; the origin (server 0) and caches 3, 4, 5 and 7 are in another.
 struct PathNode {
     node: Node,
     pending: Vec<Pending>,
@@ -42,11 +42,11 @@
         };
         node.balancer.start(Time(0), &mut node.trace);
         let zone = |server| u32::from(server != 1 && server != 2);
-        let listed = |server| Endpoint {
+        let endpoint_in_zone = |server| Endpoint {
             zone: zone(server),
             ..endpoint(server, EndpointState::Ready, None)
         };
-        node.list_complete(&[0, 1, 2, 3, 4, 5, 7].map(listed));
+        node.replace_list(&[0, 1, 2, 3, 4, 5, 7].map(endpoint_in_zone));
         PathNode {
             node,
             pending: Vec::new(),
@@ -57,11 +57,11 @@
         }
     }
 
-    /// Takes note of what the node did since the last time.
-    fn record_actions(&mut self, ends: Ends) {
-        for did in std::mem::take(&mut self.node.trace.0).lines() {
-            self.rate_limited += usize::from(did.contains("rate-limited"));
-            let Some((call, server)) = did.split_once(" -> server ") else {
+    /// Processes the node's actions since the last call.
+    fn record_actions(&mut self, behavior: ServerBehavior) {
+        for action in std::mem::take(&mut self.node.trace.0).lines() {
+            self.rate_limited += usize::from(action.contains("rate-limited"));
+            let Some((call, server)) = action.split_once(" -> server ") else {
                 continue;
             };
             let call: usize = call
@@ -71,55 +71,60 @@
                 .unwrap();
             let server: usize = server.split(' ').next().unwrap().parse().unwrap();
             let attempt = self.attempts.entry(call).or_default();
-            let (outcome, took) = ends(server);
-            let at = self.node.now + took;
+            let (outcome, latency_ms) = behavior(server);
+            let at = self.node.now + latency_ms;
             self.pending.push(Pending {
                 at,
                 call,
                 attempt: *attempt,
                 outcome,
-                took,
+                latency_ms,
             });
             *attempt += 1;
             self.sent[server] += 1;
         }
     }
 
-    /// A read every 10 ms for so long.
-    fn run(&mut self, ms: f64, ends: Ends) {
+    /// Makes a read every 10 ms for `ms` milliseconds.
+    fn run(&mut self, ms: f64, behavior: ServerBehavior) {
         let until = self.node.now + ms;
         while self.node.now < until {
             self.node
-                .request(self.calls, 0, &format!("key-{}", self.calls), false);
+                .call(self.calls, 0, &format!("key-{}", self.calls), false);
             self.calls += 1;
-            self.record_actions(ends);
+            self.record_actions(behavior);
             self.node.now += 10.0;
             if self.calls.is_multiple_of(2) {
                 self.node
                     .balancer
-                    .on_timer(self.node.at(), &mut self.node.trace);
-                self.record_actions(ends);
+                    .on_timer(self.node.time(), &mut self.node.trace);
+                self.record_actions(behavior);
             }
             let now = self.node.now;
-            for over in self
+            for completed in self
                 .pending
                 .extract_if(.., |pending| pending.at <= now)
                 .collect::<Vec<_>>()
             {
-                self.node
-                    .end(over.call, over.attempt, over.outcome, over.took);
-                self.record_actions(ends);
+                self.node.end_attempt(
+                    completed.call,
+                    completed.attempt,
+                    completed.outcome,
+                    completed.latency_ms,
+                );
+                self.record_actions(behavior);
             }
         }
     }
 }
 
-/// Answers lost on the way from three caches of a zone tell of the path to the fourth.
+/// Responses lost on the path from three caches of a zone show that the path to the fourth is lossy
+/// too.
 #[test]
-fn a_path_that_loses_answers_is_passed_over_for_all_caches_behind_it() {
+fn all_caches_behind_a_lossy_path_are_avoided() {
     let mut path_node = PathNode::new();
     path_node.run(2_000.0, |_| (Outcome::Success, 20.0));
-    let calm = path_node.sent[7];
+    let baseline = path_node.sent[7];
     path_node.run(1_000.0, |server| match server {
         3..=5 => (Outcome::TimedOut, 200.0),
         _ => (Outcome::Success, 20.0),
@@ -130,22 +135,22 @@
         _ => (Outcome::Success, 20.0),
     });
     assert!(
-        path_node.sent[7] * 4 < calm,
-        "{} attempts to the zone whose answers are lost, {calm} in calm",
+        path_node.sent[7] * 4 < baseline,
+        "{} attempts at cache 7 behind the lossy path, {baseline} before",
         path_node.sent[7]
     );
 }
 
-/// Answers of an origin behind a slow path are late by the path, not by a queue, and still within
-/// the SLO.
+/// Responses of an origin behind a slow path are late because of the path, not because of a queue,
+/// and still within the SLO.
 #[test]
-fn an_origin_behind_a_slow_path_goes_on_to_be_asked() {
+fn origin_behind_a_slow_path_stays_in_use() {
     let mut path_node = PathNode::new();
     path_node.run(2_000.0, |server| match server {
         0 => (Outcome::Success, 40.0),
         _ => (Outcome::Success, 20.0),
     });
-    let slow: Ends = |server| match server {
+    let slow: ServerBehavior = |server| match server {
         0 => (Outcome::Success, 320.0),
         1 | 2 => (Outcome::Miss, 5.0),
         _ => (Outcome::Miss, 300.0),
@@ -156,7 +161,7 @@
     path_node.run(2_000.0, slow);
     assert!(
         path_node.rate_limited <= 20,
-        "{} of 200 reads were refused",
+        "{} of 200 reads were rejected",
         path_node.rate_limited
     );
 }
--- a/crates/settings/src/policy_config.rs
+++ b/crates/settings/src/policy_config.rs
@@ -28,14 +28,17 @@
         may_cancel: settings.flag("caps.cancelling"),
         retry_budget: RetryBudgetConfig {
             window: settings.span("invariants.ratio_span", Span::ZERO),
-            free: settings.number("invariants.extra_free", 0.0),
-            ratio: settings.number("invariants.further_ratio", 0.0),
+            free_attempts: settings.number("invariants.extra_free", 0.0),
+            attempts_per_call: settings.number("invariants.further_ratio", 0.0),
         },
         slow_start: slow_start(settings, defaults.slow_start),
         keepalive: keepalive(settings),
         endpoint_list: EndpointListConfig {
             polled: settings.text("membership_mode") == "on_request",
-            poll_within: settings.span("invariants.ask_within", defaults.endpoint_list.poll_within),
+            poll_interval: settings.span(
+                "invariants.ask_within",
+                defaults.endpoint_list.poll_interval,
+            ),
         },
         dropped_endpoints_stay_usable: settings.flag("invariants.dropped_stay_open"),
         late_responses_count_against_keys: settings.number("caps.reply_slots", 0.0) > 0.0,
@@ -104,8 +107,8 @@
 
 fn slow_start(settings: &Settings, defaults: SlowStartConfig) -> SlowStartConfig {
     SlowStartConfig {
-        initial_share: settings
-            .number("invariants.cold_from", defaults.initial_share)
+        initial_load_ratio: settings
+            .number("invariants.cold_from", defaults.initial_load_ratio)
             .clamp(0.0, 1.0),
         duration: settings.span("invariants.warm_within", defaults.duration),
     }
