--- a/crates/policy/src/origin.rs
+++ b/crates/policy/src/origin.rs
@@ -9,7 +9,7 @@
 /// Fraction of the latency objective that the origin's responses may take; the rest is left for the
 /// cache and the queue.
 const TARGET_RATIO: f64 = 0.4;
-/// Multiple of the baseline that a response time may always reach: half of it is queueing.
+/// Multiple of the baseline that a response time may always reach: half of that time is queueing.
 const TARGET_TO_BASELINE_RATIO: f64 = 2.0;
 /// Largest initial limit of one node, in slots.
 const MAX_START_SLOTS: f64 = 4.0;
@@ -145,9 +145,9 @@
     }
 
     /// Updates the delay of the network path, so that a slow or lossy path is not mistaken for
-    /// queueing at the origin. Only the time in excess of the recent least response time then
-    /// adjusts the limit, and the attempts that the path delays may be in flight in addition to the
-    /// limit.
+    /// queueing at the origin. While the path is an outlier, only the response time in excess of
+    /// its least response time adjusts the limit, and the attempts that the path delays may be in
+    /// flight in addition to the limit.
     pub(crate) fn update_path_delay(&mut self, zone_is_outlier: bool) {
         self.path_delay_micros = match (zone_is_outlier, self.is_path_lossy()) {
             (false, _) => 0.0,
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -18,7 +18,7 @@
 /// Assumed outcomes at the fleet's success ratio that are combined with a cache's own.
 const PRIOR_OUTCOMES: f64 = 1.0;
 /// Success probability that the random sample must exceed for an outlier to be used.
-const MIN_DRAWN_SUCCESS: f64 = 0.5;
+const MIN_SAMPLED_SUCCESS: f64 = 0.5;
 /// Time without a response after which a cache in use is silent, in median response times.
 const SILENCE_FACTOR: f64 = 6.0;
 /// Time after which a response is considered lost, as a multiple of the 95th percentile of response
@@ -119,7 +119,7 @@
             None => self.evidence_with_silence(server, now),
         };
         Beta::new(evidence.good + 1.0, evidence.bad + 1.0)
-            .is_ok_and(|posterior| posterior.sample(rng) > MIN_DRAWN_SUCCESS)
+            .is_ok_and(|posterior| posterior.sample(rng) > MIN_SAMPLED_SUCCESS)
     }
 
     /// Returns a cache's evidence, with its attempts in flight counted as failures while it is
