--- a/crates/settings/src/policy_config.rs
+++ b/crates/settings/src/policy_config.rs
@@ -1,5 +1,5 @@
-//! Reads the policy's configuration from settings. The settings' names are known here and nowhere
-//! in the policy.
+//! Reads the policy's configuration from settings. Only this module knows the names of the
+//! settings; the policy does not.
 use quartzhub_policy::{
     DedupScope, EndpointListConfig, Idempotency, PolicyConfig, Product, RetryBudgetConfig,
     SlowStartConfig, Span,
@@ -7,13 +7,13 @@
 
 use crate::settings::Settings;
 
-/// When the client gives up, where a product does not say.
+/// Client timeout of products that do not state one.
 const DEFAULT_CLIENT_TIMEOUT: Span = Span::ms(1_000);
-/// Least latency objective, so that times can be divided by it.
+/// Least latency objective, so that durations can be divided by it.
 const MIN_LATENCY_OBJECTIVE: Span = Span::ms(1);
 
-/// The policy's configuration. Missing settings get the safe reading: no duplicates, no cancelling,
-/// no Retry-After, one attempt.
+/// Returns the policy's configuration. Missing settings get safe defaults: no duplicates, no
+/// cancelling, no Retry-After, one attempt.
 pub fn policy_config(settings: &Settings) -> PolicyConfig {
     let defaults = PolicyConfig::default();
     PolicyConfig {
@@ -28,24 +28,27 @@
         may_cancel: settings.flag("caps.cancelling"),
         retry_budget: RetryBudgetConfig {
             window: settings.span("invariants.ratio_span", Span::ZERO),
-            free: settings.number("invariants.extra_free", 0.0),
-            ratio: settings.number("invariants.further_ratio", 0.0),
+            free_attempts: settings.number("invariants.extra_free", 0.0),
+            attempts_per_call: settings.number("invariants.further_ratio", 0.0),
         },
         slow_start: slow_start(settings, defaults.slow_start),
         keepalive: keepalive(settings),
         endpoint_list: EndpointListConfig {
             polled: settings.text("membership_mode") == "on_request",
-            poll_within: settings.span("invariants.ask_within", defaults.endpoint_list.poll_within),
+            poll_interval: settings.span(
+                "invariants.ask_within",
+                defaults.endpoint_list.poll_interval,
+            ),
         },
         dropped_endpoints_stay_usable: settings.flag("invariants.dropped_stay_open"),
-        late_answers_count_against_keys: settings.number("caps.reply_slots", 0.0) > 0.0,
+        late_responses_count_against_keys: settings.number("caps.reply_slots", 0.0) > 0.0,
         deadline_drift: settings.span("invariants.deadline_drift", Span::ZERO),
         start_time_skew: settings.span("invariants.stamp_off", Span::ZERO),
     }
 }
 
-/// The products in their order. A missing effect is read as non-idempotent, a missing scope as one
-/// server.
+/// Returns the products in their order. A missing effect is read as non-idempotent, a missing key
+/// scope as one server.
 pub fn products(settings: &Settings) -> Vec<Product> {
     (0..settings.count("products"))
         .map(|i| product(settings, i))
@@ -104,8 +107,8 @@
 
 fn slow_start(settings: &Settings, defaults: SlowStartConfig) -> SlowStartConfig {
     SlowStartConfig {
-        initial_share: settings
-            .number("invariants.cold_from", defaults.initial_share)
+        initial_load_ratio: settings
+            .number("invariants.cold_from", defaults.initial_load_ratio)
             .clamp(0.0, 1.0),
         duration: settings.span("invariants.warm_within", defaults.duration),
     }
