--- a/crates/coordination/src/sim.rs
+++ b/crates/coordination/src/sim.rs
@@ -97,7 +97,7 @@
         let config = NetworkConfig {
             delay: DELAY,
             jitter: JITTER,
-            duplicates: None,
+            duplicate_probability: None,
             receive_buffer: 0,
             min_tick_interval: MIN_TICK_INTERVAL,
         };
--- a/crates/coordination/src/wire.rs
+++ b/crates/coordination/src/wire.rs
@@ -78,6 +78,6 @@
 }
 
 /// Decodes a datagram, whole or not at all.
-pub fn read(bytes: &[u8], fleet: u32) -> Result<(Head, Vec<Entry>), DatagramError> {
+pub fn decode_datagram(bytes: &[u8], fleet: u32) -> Result<(Head, Vec<Entry>), DatagramError> {
     decode(VERSION, bytes, fleet)
 }
--- a/crates/coordination/tests/leases.rs
+++ b/crates/coordination/tests/leases.rs
@@ -33,7 +33,7 @@
         seven > 7.0 / 12.0 && five < 5.0 / 12.0 && seven + five <= 1.0 + 1e-9,
         "{seven} {five}"
     );
-    assert!(network.emulation.links.longest <= 256);
+    assert!(network.emulation.links.max_datagram_bytes <= 256);
 }
 
 #[test]
--- a/crates/coordination/tests/recorded_datagrams.rs
+++ b/crates/coordination/tests/recorded_datagrams.rs
@@ -2,7 +2,7 @@
 //! the encoding must not change without a new version.
 use quartzhub_coordination::leases::LeaseKey;
 use quartzhub_coordination::load_reports::LoadReport;
-use quartzhub_coordination::wire::{read, Entry, Head, Packet, VERSION};
+use quartzhub_coordination::wire::{decode_datagram, Entry, Head, Packet, VERSION};
 use quartzhub_coordination::{Coordinator, Limits};
 use quartzhub_membership::NodeId;
 use quartzhub_policy::Time;
@@ -23,9 +23,9 @@
     for entry in entries {
         assert!(packet.add(entry));
     }
-    let bytes = packet.done();
+    let bytes = packet.finish();
     assert_eq!(hex(&bytes), expected);
-    assert_eq!(read(&bytes, FLEET), Ok((head, entries.to_vec())));
+    assert_eq!(decode_datagram(&bytes, FLEET), Ok((head, entries.to_vec())));
 }
 
 #[test]
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -1,4 +1,5 @@
-//! Dissemination: rumors that ride along on datagrams, each transmitted a bounded number of times.
+//! Dissemination: rumors that are piggybacked on datagrams, each transmitted a bounded number of
+//! times.
 use crate::wire::Entry;
 
 struct Rumor {
@@ -6,7 +7,7 @@
     transmissions: u32,
 }
 
-/// Rumors that this node has yet to pass on.
+/// Rumors that this node still has to transmit.
 pub(crate) struct Dissemination {
     rumors: Vec<Rumor>,
     max_rumors: usize,
@@ -20,12 +21,12 @@
         }
     }
 
-    /// Queues a rumor in place of those that it makes obsolete.
+    /// Queues a rumor and removes those that it makes obsolete.
     pub(crate) fn put(&mut self, entry: Entry) {
         self.rumors
             .retain(|rumor| !makes_obsolete(&entry, &rumor.entry));
         if self.rumors.len() >= self.max_rumors {
-            self.drop_most_transmitted();
+            self.evict_most_transmitted();
         }
         self.rumors.push(Rumor {
             entry,
@@ -33,16 +34,16 @@
         });
     }
 
-    /// The rumor that was transmitted most often has reached most nodes.
-    fn drop_most_transmitted(&mut self) {
+    /// Drops the rumor that was transmitted most often, because it has reached the most nodes.
+    fn evict_most_transmitted(&mut self) {
         let most = (0..self.rumors.len()).max_by_key(|i| self.rumors[*i].transmissions);
         if let Some(most) = most {
             self.rumors.swap_remove(most);
         }
     }
 
-    /// Hands over rumors while `add` has room for them, the least transmitted and most urgent first; drops those that have
-    /// been transmitted so many times.
+    /// Passes rumors to `add` while they fit, the least transmitted and most urgent first. Drops
+    /// those that have been transmitted `max_transmissions` times.
     pub(crate) fn piggyback(
         &mut self,
         max_transmissions: u32,
@@ -61,7 +62,8 @@
     }
 }
 
-/// A newer entry about a node replaces older ones; entries of different suspectors stand beside one another.
+/// Returns whether `new` makes `old` obsolete. A newer entry about a node replaces older ones, but
+/// suspicions by different suspectors are kept side by side.
 fn makes_obsolete(new: &Entry, old: &Entry) -> bool {
     match (old, new) {
         (
@@ -82,7 +84,7 @@
     }
 }
 
-/// Rumors of a lower rank go first.
+/// Returns the urgency of a rumor; lower ranks are sent first.
 fn urgency_rank(entry: &Entry) -> u8 {
     match entry {
         Entry::Suspect { .. } | Entry::Heard { .. } | Entry::DrainOverride(_) => 0,
--- a/crates/membership/src/drain_overrides/mod.rs
+++ b/crates/membership/src/drain_overrides/mod.rs
@@ -1,6 +1,6 @@
-//! Drain overrides: operators' orders about servers, which reach every node whichever one they are given to. Each server has
-//! at most one, and the newest version holds; a revocation is kept as well, since the override that it ends may still be
-//! under way.
+//! Drain overrides: operators' decisions to drain a server, which reach every node whichever node
+//! receives the command. Each server has at most one override, and the newest version wins. A
+//! revocation is stored as well, since the override that it revokes may still be in transit.
 mod propagation;
 
 use quartzhub_policy::Time;
@@ -9,25 +9,25 @@
 use crate::register::{Register, Versioned, VersionedEntry};
 use crate::NodeId;
 
-/// A server as drain overrides name it: a hash of its id, so that an override has a bounded size.
+/// A server as named by drain overrides: a hash of its id, so that an override has a bounded size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ServerId(pub u64);
 
 impl ServerId {
-    /// The server with this id in the endpoint list.
+    /// Returns the server with this id in the endpoint list.
     pub fn named(id: &str) -> ServerId {
         ServerId(quartzhub_policy::hash(id))
     }
 }
 
-/// An operator's order about a server.
+/// An operator's decision to drain a server, or its revocation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainOverride {
     /// The server.
     pub server: ServerId,
-    /// One more than that of the override which its issuer knew.
+    /// The version of the override that the issuer knew before, plus one.
     pub version: u32,
-    /// Whether the server gets no new attempts; false revokes an earlier override.
+    /// Whether the server is excluded from new attempts; false revokes an earlier override.
     pub drain: bool,
     /// The node that issued it.
     pub by: NodeId,
@@ -40,23 +40,25 @@
         self.server
     }
 
-    /// Of two issued at once on both sides of a partition the drain holds: it costs capacity, its loss may cost API calls.
+    /// Of two overrides issued on both sides of a partition, the drain wins: an unwanted drain
+    /// costs capacity, but a lost one may fail API calls.
     fn supersedes(&self, other: &DrainOverride) -> bool {
         (self.version, self.drain, self.by) > (other.version, other.drain, other.by)
     }
 
-    /// A drain is never dropped.
+    /// A drain is never evicted; a revocation may be.
     fn is_evictable(&self) -> bool {
         !self.drain
     }
 }
 
-/// Why a drain override is not issued.
+/// The reason why a drain override is not issued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OverrideRejected {
-    /// This node has started and may not know the override that holds: its own would have too low a version.
+    /// This node has just started and may not know the current override, so its own would have too
+    /// low a version.
     Started,
-    /// As many drains hold as are kept.
+    /// The register is full of drains, which cannot be evicted.
     Full,
 }
 
@@ -66,7 +68,7 @@
 pub(crate) type DrainOverrides = Register<DrainOverride>;
 
 impl Register<DrainOverride> {
-    /// Issues an override at this node, by its operator's order.
+    /// Issues an override at this node, on an operator's command.
     pub(crate) fn issue(
         &mut self,
         now: Time,
--- a/crates/membership/src/drain_overrides/propagation.rs
+++ b/crates/membership/src/drain_overrides/propagation.rs
@@ -1,4 +1,4 @@
-//! Propagates drain overrides: issued here or received, each is pushed to other members at once.
+//! Propagates drain overrides: each one issued or received here is pushed to other members at once.
 use quartzhub_policy::Time;
 
 use super::{DrainOverride, DrainOverrideEntry, OverrideRejected, ServerId};
@@ -8,7 +8,8 @@
 use crate::{Datagram, NodeId};
 
 impl Membership {
-    /// Issues an operator's override: it holds at this node from now on, and soon at every node that can be reached.
+    /// Issues an operator's override. It holds at this node at once, and soon at every reachable
+    /// node.
     pub fn set_drain_override(
         &mut self,
         now: Time,
@@ -29,12 +30,12 @@
         Ok(issued)
     }
 
-    /// The drain overrides that hold here, revocations among them.
+    /// Returns the drain overrides that hold here, including revocations.
     pub fn drain_overrides(&self) -> impl Iterator<Item = &DrainOverrideEntry> {
         self.drain_overrides.entries()
     }
 
-    /// Grows with each change of the drain overrides.
+    /// Returns a number that grows with each change of the drain overrides.
     pub fn drain_overrides_revision(&self) -> u64 {
         self.drain_overrides.revision()
     }
@@ -46,8 +47,8 @@
         }
     }
 
-    /// Guards against rumors that take a second or more to go round a large fleet: whoever learns of an override pushes it
-    /// at once.
+    /// Pushes drain overrides that are due. Rumors alone take a second or more to reach all nodes
+    /// of a large fleet, so a node that learns of an override pushes it at once.
     pub(crate) fn push_drain_overrides(&mut self, now: Time, out: &mut Vec<Datagram>) {
         let interval = self.limits.push_interval;
         while let Some(due) = self.drain_overrides.take_due_push(now, interval) {
--- a/crates/membership/src/endpoint.rs
+++ b/crates/membership/src/endpoint.rs
@@ -1,4 +1,5 @@
-//! One node's end of a datagram protocol: counts what is sent, and admits what is received or drops it.
+//! One node's endpoint of a datagram protocol: counts the datagrams sent, and admits or drops those
+//! received.
 use quartzhub_policy::Time;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -6,68 +7,71 @@
 use crate::wire::{self, Packet};
 use crate::{Datagram, NodeId, RateLimiter};
 
-/// What was sent and received, and what was dropped and why. Operators read the renamed fields under their older names.
+/// Counters of datagrams sent, received and dropped. Fields with a `rename` attribute keep the
+/// names that operators read.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct TrafficCounters {
     /// Datagrams sent.
     pub sent: u64,
     /// Bytes sent.
     pub sent_bytes: u64,
-    /// Datagrams admitted.
+    /// Datagrams received and admitted.
     pub received: u64,
-    /// Dropped: too short, too long, of a wrong checksum, version or fleet, or not decodable.
+    /// Datagrams dropped because they are too short, too long, or not decodable, or because the
+    /// checksum, version or fleet does not match.
     #[serde(rename = "spoilt")]
     pub malformed: u64,
-    /// Dropped: said to be from another than its address is, or about a node that is not configured.
+    /// Datagrams dropped because their sender does not match their address, or because they are
+    /// about a node that is not configured.
     #[serde(rename = "forged")]
     pub rejected_sender: u64,
-    /// Dropped: over the rate of its sender.
+    /// Datagrams dropped because their sender exceeded its rate.
     #[serde(rename = "flood")]
     pub rate_limited: u64,
 }
 
-/// The head of a protocol's datagrams.
+/// The head of a datagram.
 pub trait DatagramHead: DeserializeOwned {
-    /// The node that the datagram claims to come from.
+    /// Returns the node that the datagram claims to come from.
     fn sender(&self) -> NodeId;
 
-    /// Whether its content is possible in a fleet of so many nodes.
+    /// Returns whether its content is possible in a fleet of this many configured nodes.
     fn is_valid(&self, nodes: usize) -> bool;
 }
 
-/// An entry of a protocol's datagrams, of which one carries any number.
+/// An entry of a datagram, which carries any number of entries.
 pub trait DatagramEntry: DeserializeOwned {
-    /// Whether its content is possible in a fleet of so many nodes.
+    /// Returns whether its content is possible in a fleet of this many configured nodes.
     fn is_valid(&self, nodes: usize) -> bool;
 }
 
-/// A datagram that was admitted.
+/// An admitted datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Received<H, E> {
     /// Its head.
     pub head: H,
-    /// Its entries, in their order.
+    /// Its entries, in the order of the datagram.
     pub entries: Vec<E>,
 }
 
-/// Which protocol an endpoint speaks, as which node of which fleet.
+/// The protocol, fleet and node of an endpoint, and its rate limits.
 #[derive(Debug, Clone, Copy)]
 pub struct EndpointConfig {
-    /// The protocol's version, the first byte of each datagram.
+    /// The protocol's version, which is the first byte of each datagram.
     pub version: u8,
-    /// The fleet's name as it stands in each datagram.
+    /// The hash of the fleet's name, which is part of each datagram.
     pub fleet: u32,
-    /// This node.
+    /// The id of this node.
     pub me: NodeId,
-    /// How many nodes are configured.
+    /// The number of configured nodes.
     pub nodes: usize,
-    /// Datagrams a second accepted from one sender.
+    /// Sustained rate of datagrams accepted from one sender, per second.
     pub datagrams_per_second: f64,
-    /// Datagrams accepted from one sender at once.
+    /// Burst of datagrams accepted from one sender above that rate.
     pub datagram_burst: f64,
 }
 
-/// One node's end of a datagram protocol.
+/// One node's endpoint of a datagram protocol.
 #[derive(Debug)]
 pub struct DatagramEndpoint {
     config: EndpointConfig,
@@ -76,7 +80,7 @@
 }
 
 impl DatagramEndpoint {
-    /// An endpoint that has sent and received nothing.
+    /// Creates an endpoint with all counters at zero.
     pub fn new(config: EndpointConfig) -> DatagramEndpoint {
         let rate_limiter = RateLimiter::new(
             config.nodes,
@@ -90,25 +94,26 @@
         }
     }
 
-    /// What was sent, received and dropped.
+    /// Returns the counters of datagrams sent, received and dropped.
     pub fn traffic(&self) -> TrafficCounters {
         self.traffic
     }
 
-    /// A packet with this head, to which entries can be added.
+    /// Starts a packet with this head, to which entries can be added.
     pub fn packet(&self, head: &impl Serialize) -> Packet {
         Packet::new(self.config.version, self.config.fleet, head)
     }
 
-    /// Queues a packet for sending.
+    /// Finishes a packet and appends it to the datagrams to send.
     pub fn send(&mut self, to: NodeId, packet: Packet, out: &mut Vec<Datagram>) {
-        let bytes = packet.done();
+        let bytes = packet.finish();
         self.traffic.sent += 1;
         self.traffic.sent_bytes += bytes.len() as u64;
         out.push(Datagram { to, bytes });
     }
 
-    /// Admits a datagram that came from the address of a node, or drops it. The rate is checked first: decoding costs time.
+    /// Decodes and admits a datagram received from the address of a node, or drops it. The rate is
+    /// checked first because decoding costs time.
     pub fn receive<H: DatagramHead, E: DatagramEntry>(
         &mut self,
         now: Time,
--- a/crates/membership/src/failure_detector/mod.rs
+++ b/crates/membership/src/failure_detector/mod.rs
@@ -12,36 +12,36 @@
 use crate::NodeId;
 use indirect::RelayedProbe;
 
-/// A probe under way.
+/// The pending probe of the current period.
 #[derive(Debug, Clone, Copy)]
 struct Probe {
     target: NodeId,
-    /// The sequence of its ping.
+    /// The sequence number of its ping.
     sequence: u32,
     started: Time,
-    /// When indirect probes are requested.
+    /// When indirect probes are requested, if no ack has arrived.
     ack_due: Time,
-    ends: Time,
-    /// Members that were asked for an indirect probe, once that is done.
-    requested: Option<usize>,
+    ends_at: Time,
+    /// Number of members asked for an indirect probe; none before that step.
+    indirect_requests: Option<usize>,
     nacks: usize,
     acked: bool,
 }
 
 impl Probe {
     fn awaits_direct_ack(&self) -> bool {
-        !self.acked && self.requested.is_none()
+        !self.acked && self.indirect_requests.is_none()
     }
 }
 
-/// Probes of this node, and those that it performs for others.
+/// The probes of this node, and those that it performs for others.
 pub(crate) struct FailureDetector {
     probe: Option<Probe>,
     relayed_probes: VecDeque<RelayedProbe>,
-    /// Members yet to be probed in this round, the next one last.
+    /// Members still to be probed in this round, the next one last.
     probe_order: Vec<NodeId>,
     next_period: Time,
-    periods: u32,
+    period_count: u32,
 }
 
 impl FailureDetector {
@@ -51,7 +51,7 @@
             relayed_probes: VecDeque::new(),
             probe_order: Vec::new(),
             next_period: Time(0),
-            periods: 0,
+            period_count: 0,
         }
     }
 
@@ -71,7 +71,7 @@
     pub(crate) fn is_indirect_probe_due(&self, now: Time) -> bool {
         self.probe
             .filter(Probe::awaits_direct_ack)
-            .is_some_and(|probe| now >= probe.ack_due && now < probe.ends)
+            .is_some_and(|probe| now >= probe.ack_due && now < probe.ends_at)
     }
 
     pub(crate) fn is_period_over(&self, now: Time) -> bool {
@@ -79,19 +79,19 @@
     }
 
     pub(crate) fn begin_period(&mut self, now: Time, period: Span) {
-        self.periods = self.periods.wrapping_add(1);
+        self.period_count = self.period_count.wrapping_add(1);
         self.next_period = now + period;
     }
 
-    /// Drops all probes under way, and begins a period at once.
+    /// Drops all pending probes and begins a new period at once.
     pub(crate) fn reset(&mut self, now: Time) {
         self.probe = None;
         self.relayed_probes.clear();
         self.next_period = now;
     }
 
-    /// The next member to be probed. Every member comes once in a round, in a new random order: the time until each is
-    /// probed has a bound.
+    /// Returns the next member to probe. Each round probes every member once, in a new random
+    /// order, which bounds the time until a given member is probed.
     fn next_target(&mut self, me: NodeId, table: &MemberTable, rng: &mut Pcg) -> Option<NodeId> {
         for _ in 0..2 {
             while let Some(next) = self.probe_order.pop() {
--- a/crates/membership/src/failure_detector/probing.rs
+++ b/crates/membership/src/failure_detector/probing.rs
@@ -1,4 +1,4 @@
-//! Direct probes, pings beside them, and what became of a probe.
+//! Direct probes, their conclusion, and additional pings.
 use quartzhub_policy::Time;
 
 use super::Probe;
@@ -22,17 +22,18 @@
             sequence,
             started: now,
             ack_due: now + self.limits.ack_timeout.times(multiplier),
-            ends: self.detector.next_period,
-            requested: None,
+            ends_at: self.detector.next_period,
+            indirect_requests: None,
             nacks: 0,
             acked: false,
         });
     }
 
-    /// Pings, every so many periods, a node that is no member: it or the link to it may be back.
+    /// Every `periods_per_non_member_ping` periods, pings a node that is not a member: the node or
+    /// the link to it may have recovered.
     pub(crate) fn ping_non_member(&mut self, out: &mut Vec<Datagram>) {
         let interval = self.limits.periods_per_non_member_ping;
-        if !self.detector.periods.is_multiple_of(interval) {
+        if !self.detector.period_count.is_multiple_of(interval) {
             return;
         }
         let random = self.rng.unit();
@@ -44,8 +45,9 @@
         }
     }
 
-    /// An isolated node may still be heard: it pings more members, so that one of them reports so before it is declared dead.
-    pub(crate) fn call_for_witnesses(&mut self, now: Time, out: &mut Vec<Datagram>) {
+    /// Pings additional members while this node is isolated. Others may still receive its
+    /// datagrams, and one of them can then report it as heard before it is declared dead.
+    pub(crate) fn solicit_heard_reports(&mut self, now: Time, out: &mut Vec<Datagram>) {
         let is_isolated = self.local_health.is_isolated(now, &self.limits);
         if !is_isolated || self.limits.disabled.heard_reports {
             return;
@@ -61,7 +63,7 @@
         }
     }
 
-    /// A node that has just started asks several others for their tables, in some rounds.
+    /// Asks several nodes for their tables, for some rounds after the start.
     pub(crate) fn send_join_requests(&mut self, out: &mut Vec<Datagram>) {
         if self.join_rounds_left == 0 || self.is_leaving {
             return;
@@ -80,7 +82,8 @@
         }
     }
 
-    /// Ends the probe of the period that is over: its target is suspected if nobody has heard it.
+    /// Ends the probe of the previous period. Its target is suspected if it has not been heard
+    /// since.
     pub(crate) fn conclude_probe(&mut self, now: Time) {
         let Some(probe) = self.detector.probe.take() else {
             return;
@@ -90,12 +93,13 @@
             return;
         }
         self.counters.failed_probes += 1;
-        // A nack shows that the link to its sender works; silence of all that were asked is more likely a local fault.
-        let was_requested = probe.requested.is_some_and(|requested| requested > 0);
-        if was_requested && probe.nacks == 0 && !self.limits.disabled.local_health {
+        // A nack shows that the link to its sender works. If none of the requested relays responds,
+        // a local fault is more likely.
+        let has_asked_relays = probe.indirect_requests.is_some_and(|requests| requests > 0);
+        if has_asked_relays && probe.nacks == 0 && !self.limits.disabled.local_health {
             self.local_health.worsen(1);
         }
-        if !self.may_blame_others(now) {
+        if !self.may_suspect_others(now) {
             return;
         }
         let Some(member) = self.table.get(probe.target) else {
@@ -104,8 +108,8 @@
         let was_heard_since = member.heard.is_some_and(|heard| {
             now - heard < self.limits.recently_heard_window && heard > probe.started
         });
-        let is_excused = was_heard_since && !self.limits.disabled.heard_reports;
-        if member.state.is_member() && !is_excused {
+        let is_known_alive = was_heard_since && !self.limits.disabled.heard_reports;
+        if member.state.is_member() && !is_known_alive {
             let incarnation = member.incarnation;
             self.suspect(now, probe.target, incarnation, self.me);
         }
--- a/crates/membership/src/failure_detector/suspicion.rs
+++ b/crates/membership/src/failure_detector/suspicion.rs
@@ -1,4 +1,5 @@
-//! Suspicions: who has to confirm one, who contradicts it, and when it ends in a declaration of death.
+//! Suspicions: which confirmations they need, how a report that the suspect was heard ends them,
+//! and when they end in a declaration of death.
 use quartzhub_policy::Time;
 
 use crate::membership::Membership;
@@ -6,17 +7,17 @@
 use crate::NodeId;
 
 impl Membership {
-    /// A node suspects another, by its own probe or by a rumor.
+    /// Handles a suspicion, from this node's own probe or from a rumor.
     pub(crate) fn suspect(&mut self, now: Time, node: NodeId, incarnation: u32, by: NodeId) {
         if node == self.me {
             self.refute(now, incarnation);
             return;
         }
         let required = self.required_confirmations();
-        let is_news = self
+        let is_new = self
             .table
             .add_suspector(now, node, incarnation, by, required);
-        if !is_news {
+        if !is_new {
             return;
         }
         self.dissemination.put(Entry::Suspect {
@@ -27,8 +28,9 @@
         if by == self.me {
             return;
         }
-        self.probe_soon_by_chance(node);
-        // A probe fails a period after it began: a member heard within one was heard after that.
+        self.maybe_probe_next(node);
+        // A probe fails one period after it began, so a member heard within the last period was
+        // heard after the probe began.
         let was_heard_since = self
             .table
             .get(node)
@@ -39,8 +41,10 @@
         }
     }
 
-    /// Some nodes probe a new suspect next, so that its confirmation need not wait until they come to it in their rounds.
-    fn probe_soon_by_chance(&mut self, node: NodeId) {
+    /// Puts a new suspect next in the probe order, with a probability such that about
+    /// `expected_confirming_probes` nodes of the fleet do so. Without this, its confirmation would
+    /// wait until their probe rounds reach it.
+    fn maybe_probe_next(&mut self, node: NodeId) {
         let is_first_suspicion = self
             .table
             .get(node)
@@ -54,8 +58,8 @@
         }
     }
 
-    /// Suspectors needed to declare a member dead: several where there are several, so that no node is removed on the word
-    /// of one.
+    /// Returns the number of suspectors needed to declare a member dead. In a fleet that allows it
+    /// there are several, so that no node is removed on the report of a single one.
     fn required_confirmations(&self) -> usize {
         if self.limits.disabled.confirmations {
             return 1;
@@ -64,7 +68,7 @@
         self.limits.required_confirmations.min(others).max(1)
     }
 
-    /// Tells other nodes that this one hears a suspect.
+    /// Ends a suspicion, and reports to other nodes that this node hears the suspect.
     pub(crate) fn report_heard(&mut self, now: Time, node: NodeId, incarnation: u32) {
         self.table
             .clear_suspicion(now, node, self.limits.suspicion_holdoff);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,6 +1,7 @@
-//! Which nodes of a fleet are alive, as one of them sees it: SWIM with Lifeguard's local health, as a state machine without
-//! sockets and clock. The caller hands in datagrams and the time, and gets datagrams to send and the time of the next step;
-//! the same code runs in the node, in the emulator and under tests. `docs/membership.md` states the guarantees and the
+//! Failure detection and membership for a fleet of nodes: SWIM with Lifeguard's local health, as a
+//! state machine without sockets or a clock. The caller passes in received datagrams and the
+//! current time, and gets back the datagrams to send and the time of the next timer tick. The node,
+//! the emulator and the tests all run this code. `docs/membership.md` states the guarantees and the
 //! alternatives that were considered.
 #![deny(missing_docs)]
 
@@ -31,21 +32,21 @@
 pub use membership::{Membership, MembershipCounters, ProtocolCounters};
 pub use rate_limiter::RateLimiter;
 
-/// A node's index among the configured nodes, the same at every node.
+/// A node's index in the list of configured nodes, which is the same at every node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct NodeId(pub u16);
 
 impl NodeId {
-    /// Its place in a list of all configured nodes.
+    /// Returns the index as a `usize`, for indexing a list of all configured nodes.
     pub fn index(self) -> usize {
         usize::from(self.0)
     }
 }
 
-/// A datagram to be sent.
+/// A datagram to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Datagram {
-    /// The receiver.
+    /// The receiving node.
     pub to: NodeId,
     /// The encoded message.
     pub bytes: Vec<u8>,
--- a/crates/membership/src/limits.rs
+++ b/crates/membership/src/limits.rs
@@ -1,95 +1,105 @@
-//! Parameters of the membership protocol, each with its unit.
+//! Parameters of the membership protocol, with their units and defaults.
 use quartzhub_policy::Span;
 
 /// Parameters of the membership protocol.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// Time from one probe to the next. With a ping and its ack of some 60 bytes each a node sends about 400 bytes a second,
-    /// whatever the size of the fleet.
+    /// Interval between probes. With a ping and an ack of about 60 bytes each, a node sends about
+    /// 400 bytes per second, whatever the size of the fleet.
     pub probe_period: Span,
-    /// Wait for an ack before indirect probes are requested: several round trips of a slow network.
+    /// Time to wait for a direct ack before requesting indirect probes: several round trips of a
+    /// slow network.
     pub ack_timeout: Span,
-    /// Members asked for an indirect probe: with one message in five lost each way, one probe in a thousand fails.
+    /// Members asked for an indirect probe of the same target. With one message in five lost in
+    /// each direction, one probe in a thousand fails.
     pub indirect_probe_count: usize,
-    /// Nodes that have to suspect a member before it is declared dead, where the fleet has so many.
+    /// Nodes that must suspect a member before it is declared dead. A smaller fleet requires fewer.
     pub required_confirmations: usize,
-    /// Suspicion timeout with all required confirmations. A node that stalled for less refutes in time.
+    /// Suspicion timeout once all required confirmations have arrived. A node that stalled for less
+    /// than this refutes in time.
     pub min_suspicion_timeout: Span,
     /// Suspicion timeout with a single suspector.
     pub max_suspicion_timeout: Span,
-    /// Suspicion timeout once as many nodes as are required have declared the member dead: still long enough that a node
-    /// that stalled receives the refutation queued behind the old rumors.
+    /// Suspicion timeout once the required number of nodes have declared the member dead. It is
+    /// still long enough for a node that stalled to receive the refutation queued behind outdated
+    /// rumors.
     pub confirmed_dead_timeout: Span,
-    /// Probe periods without any ack after which a node counts as isolated, and suspects nobody.
+    /// Probe periods without any ack after which a node considers itself isolated and suspects
+    /// nobody.
     pub isolation_periods: f64,
-    /// Time after hearing that it is suspected itself in which a node suspects nobody: its own links are in doubt.
+    /// Time for which a node suspects nobody after learning that it is suspected itself, because
+    /// its own links may be at fault.
     pub self_suspected_hold: Span,
-    /// A member heard from within this time is not suspected for a failed probe.
+    /// A member heard from within this time is not suspected because of a failed probe.
     pub recently_heard_window: Span,
-    /// Time after a refutation, or after another node reported to hear the member, in which old rumors don't raise the
-    /// suspicion again: longer than a rumor circulates.
+    /// Time after a refutation, or after another node's report that it hears the member, during
+    /// which outdated rumors do not renew the suspicion. Longer than a rumor circulates.
     pub suspicion_holdoff: Span,
-    /// Greatest local health score, in failed probes: each delays the time at which a probe counts as lost.
+    /// Maximum local health score, in failed probes. Each point lengthens the ack timeout and the
+    /// suspicion timeout.
     pub max_local_health_score: u32,
-    /// Lateness of the own timer from which a node takes itself to have been stalled.
+    /// Delay of a node's own timer beyond which the node concludes that its process was stalled.
     pub stall_threshold: Span,
-    /// Retransmit multiplier: transmissions of a rumor by each node, times the common logarithm of the fleet's size.
+    /// Retransmit multiplier: each node transmits a rumor this many times the common logarithm of
+    /// the fleet's size.
     pub retransmit_multiplier: f64,
-    /// Fewest transmissions of a rumor by each node: in a small fleet all of a few may be lost.
+    /// Minimum transmissions of a rumor by each node. In a small fleet the scaled number is so low
+    /// that all of them may be lost.
     pub min_retransmits: u32,
-    /// Expected number of nodes that probe a member at once when they hear of a suspicion.
+    /// Expected number of nodes that probe a member out of turn when they learn of a suspicion.
     pub expected_confirming_probes: f64,
-    /// Most rumors queued for dissemination.
+    /// Maximum number of rumors queued for dissemination.
     pub max_rumors: usize,
-    /// Table entries sent with each datagram beside the rumors (anti-entropy).
+    /// Table entries sent with each datagram in addition to the rumors (anti-entropy).
     pub anti_entropy_entries: usize,
-    /// Probe periods from one ping of a node that is no member (dead, left or unknown) to the next.
+    /// Probe periods between pings of a node that is not a member (dead, left or unknown).
     pub periods_per_non_member_ping: u32,
-    /// Members that a new node asks for their tables in a round.
+    /// Nodes that a newly started node asks for their tables in each join round.
     pub join_fanout: usize,
-    /// Rounds in which a new node asks for tables.
+    /// Join rounds in which a newly started node asks for tables.
     pub join_rounds: u32,
-    /// Datagrams a second accepted from one sender.
+    /// Sustained rate of datagrams accepted from one sender, per second.
     pub datagrams_per_second: f64,
-    /// Datagrams accepted from one sender at once.
+    /// Burst of datagrams accepted from one sender above that rate.
     pub datagram_burst: f64,
-    /// Most indirect probes performed for other nodes at once.
+    /// Maximum number of concurrent indirect probes performed for other nodes.
     pub max_relayed_probes: usize,
-    /// Most drain overrides kept.
+    /// Maximum number of drain overrides stored.
     pub max_drain_overrides: usize,
-    /// Members to which a node that learns of a drain override pushes it, in each round: six leave one node in 400 out,
-    /// which rumors and anti-entropy reach.
+    /// Members to which a node that learns of a drain override pushes it, in each push round. Six
+    /// leave about one node in 400 without a push; rumors and anti-entropy reach that node.
     pub push_fanout: usize,
-    /// Members to which the issuer of a drain override pushes it, in each round.
+    /// Members to which the issuer of a drain override pushes it, in each push round.
     pub issuer_push_fanout: usize,
     /// Rounds in which a drain override is pushed.
     pub push_rounds: u32,
-    /// Time from one push round to the next.
+    /// Interval between push rounds.
     pub push_interval: Span,
-    /// Most state changes kept for operators.
+    /// Maximum number of state changes recorded for operators.
     pub max_recorded_changes: usize,
-    /// Protocol features that are switched off.
+    /// Protocol features that are disabled.
     pub disabled: DisabledFeatures,
 }
 
-/// Protocol features that can be switched off one by one (ablation): only for tests that show what each is for.
+/// Protocol features that can be disabled one by one. Only tests do so, to show the failure that
+/// each feature prevents.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DisabledFeatures {
     /// No indirect probes are requested.
     pub indirect_probes: bool,
     /// A suspected node does not refute.
     pub refutation: bool,
-    /// A node never takes itself to be stalled, isolated or suspected (Lifeguard's local health).
+    /// A node never considers itself stalled, isolated or suspected (Lifeguard's local health).
     pub local_health: bool,
-    /// Nodes don't report that they hear a suspected member.
+    /// Nodes do not report that they hear a suspected member.
     pub heard_reports: bool,
-    /// A single suspector is enough.
+    /// A single suspector is enough to declare a member dead.
     pub confirmations: bool,
-    /// The drain override received last holds, whatever its version.
+    /// The drain override received last wins, whatever its version.
     pub versions: bool,
 }
 
-/// Names of the features in the configuration.
+/// Names of the features in the configuration file.
 pub const FEATURE_NAMES: [&str; 6] = [
     "helpers",
     "refutation",
@@ -100,7 +110,8 @@
 ];
 
 impl DisabledFeatures {
-    /// Switches a feature off by its name in the configuration; false if there is none of that name.
+    /// Disables a feature by its name in the configuration file; returns false if the name is
+    /// unknown.
     pub fn disable(&mut self, name: &str) -> bool {
         match name {
             "helpers" => self.indirect_probes = true,
@@ -154,7 +165,8 @@
 }
 
 impl Limits {
-    /// Plain SWIM: indirect probes, a fixed suspicion timeout, a single suspector, and no local health.
+    /// Returns the parameters of plain SWIM: indirect probes, a fixed suspicion timeout, a single
+    /// suspector, and no local health.
     pub fn plain() -> Limits {
         let disabled = DisabledFeatures {
             local_health: true,
@@ -170,7 +182,8 @@
         }
     }
 
-    /// How long a suspicion lasts, by the number of suspectors and the observer's local health score.
+    /// Returns the time from a suspicion to the declaration of death. More suspectors shorten it; a
+    /// worse local health score of the observer lengthens it.
     pub(crate) fn suspicion_timeout(&self, suspectors: usize, local_health_score: u32) -> Span {
         let max = self.max_suspicion_timeout.0 as f64;
         let min = self.min_suspicion_timeout.0 as f64;
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,21 +1,23 @@
-//! Local health (Lifeguard): whether this node's own links and timer can be trusted, before it blames others.
+//! Local health (Lifeguard): whether this node's own links and timer can be trusted, before it
+//! suspects other nodes.
 use quartzhub_policy::Time;
 
 use crate::membership::Membership;
 use crate::Limits;
 
-/// Score added by a stall, in failed probes.
+/// Score added by a stall of the process, in failed probes.
 const STALL_SCORE: u32 = 2;
 
-/// What this node knows of its own health.
+/// What this node knows about its own health.
 #[derive(Debug)]
 pub(crate) struct LocalHealth {
-    /// Failed probes that this node puts down to itself; 0 is healthy.
+    /// Failed probes that this node attributes to itself; 0 is healthy.
     score: u32,
     max_score: u32,
-    /// When some node last answered, which shows that both directions work.
-    last_answer: Time,
-    /// When this node last heard that others take it for less than alive.
+    /// When this node last received an ack or nack for its own probe, which shows that its links
+    /// work in both directions.
+    last_response: Time,
+    /// When this node last learned that others take it for suspect, dead or left.
     last_suspected: Option<Time>,
 }
 
@@ -24,7 +26,7 @@
         LocalHealth {
             score: 0,
             max_score,
-            last_answer: Time(0),
+            last_response: Time(0),
             last_suspected: None,
         }
     }
@@ -33,7 +35,7 @@
         self.score
     }
 
-    /// Local health multiplier of the ack timeout, from 1 to 2.
+    /// Returns the local health multiplier of the ack timeout, from 1 to 2.
     pub(crate) fn ack_timeout_multiplier(&self) -> f64 {
         1.0 + f64::from(self.score) / f64::from(self.max_score)
     }
@@ -46,25 +48,26 @@
         self.score = (self.score + by).min(self.max_score);
     }
 
-    pub(crate) fn on_answer(&mut self, now: Time) {
-        self.last_answer = now;
+    pub(crate) fn on_response(&mut self, now: Time) {
+        self.last_response = now;
     }
 
     pub(crate) fn on_suspected(&mut self, now: Time) {
         self.last_suspected = Some(now);
     }
 
-    fn unanswered_for(&self, now: Time, periods: f64, limits: &Limits) -> bool {
-        now - self.last_answer > limits.probe_period.times(periods)
+    fn no_response_for(&self, now: Time, periods: f64, limits: &Limits) -> bool {
+        now - self.last_response > limits.probe_period.times(periods)
     }
 
-    /// Whether no node has answered for some probe periods.
+    /// Returns whether no ack or nack has arrived for `isolation_periods` probe periods.
     pub(crate) fn is_isolated(&self, now: Time, limits: &Limits) -> bool {
-        self.unanswered_for(now, limits.isolation_periods, limits)
+        self.no_response_for(now, limits.isolation_periods, limits)
     }
 
-    /// Whether this node is more likely at fault than others: it is isolated, or was told that others suspect it.
-    fn is_in_doubt(&self, now: Time, limits: &Limits) -> bool {
+    /// Returns whether this node is more likely at fault than others: it is isolated, or it was
+    /// suspected a short time ago.
+    fn is_unreliable(&self, now: Time, limits: &Limits) -> bool {
         let was_suspected = self
             .last_suspected
             .is_some_and(|at| now - at < limits.self_suspected_hold);
@@ -73,34 +76,38 @@
 }
 
 impl Membership {
-    /// Failed probes that this node puts down to itself; 0 is healthy.
+    /// Returns the number of failed probes that this node attributes to itself; 0 is healthy.
     pub fn local_health_score(&self) -> u32 {
         self.local_health.score()
     }
 
-    /// Whether no node answers any more: the others may have failed or this node may be cut off, which it can't tell apart.
+    /// Returns whether no node responds any more. Either the other nodes have failed or this node
+    /// is disconnected; it cannot tell which.
     pub fn hears_nobody(&self, now: Time) -> bool {
         let periods = 2.0 * self.limits.isolation_periods;
         self.table.member_count() > 1
-            && self.local_health.unanswered_for(now, periods, &self.limits)
+            && self
+                .local_health
+                .no_response_for(now, periods, &self.limits)
     }
 
-    /// Whether this node may suspect others and declare them dead.
-    pub(crate) fn may_blame_others(&self, now: Time) -> bool {
-        self.limits.disabled.local_health || !self.local_health.is_in_doubt(now, &self.limits)
+    /// Returns whether this node may suspect others and declare them dead.
+    pub(crate) fn may_suspect_others(&self, now: Time) -> bool {
+        self.limits.disabled.local_health || !self.local_health.is_unreliable(now, &self.limits)
     }
 
-    /// Guards against blaming others for an own stall, after which every answer is overdue: probes under way are void, and
-    /// suspects get their time again.
+    /// Detects a stall of this process by its late timer. After a stall every ack is overdue;
+    /// without this check the node would suspect others for its own fault. Drops all pending
+    /// probes, and extends all suspicion timeouts by the length of the stall.
     pub(crate) fn detect_stall(&mut self, now: Time) {
-        let late = now - self.due();
-        if late <= self.limits.stall_threshold || self.limits.disabled.local_health {
+        let lateness = now - self.due();
+        if lateness <= self.limits.stall_threshold || self.limits.disabled.local_health {
             return;
         }
         self.counters.stalls += 1;
         self.detector.reset(now);
-        self.table.extend_suspicions(late);
+        self.table.extend_suspicions(lateness);
         self.local_health.worsen(STALL_SCORE);
-        self.local_health.on_answer(now);
+        self.local_health.on_response(now);
     }
 }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,34 +1,35 @@
-//! What a node knows of another one.
+//! The state that a node records for every configured node.
 use quartzhub_policy::Time;
 use serde::Serialize;
 
 use crate::NodeId;
 
-/// The state of a configured node, as another one sees it. Operators read the renamed ones under their older names.
+/// The state of a configured node, as seen by another one. Variants with a `rename` attribute keep
+/// the names that operators read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// Configured, and never heard of: no member.
+    /// Configured, but nothing has been received about it. Not a member.
     #[serde(rename = "absent")]
     Unknown,
-    /// It answers.
+    /// Responds to probes, or is reported alive. A member.
     Alive,
-    /// Some nodes had no answer from it; still a member.
+    /// Failed the probes of some nodes. Still a member.
     Suspect,
-    /// Declared dead: no member.
+    /// Declared dead. Not a member.
     #[serde(rename = "gone")]
     Dead,
-    /// It has said that it leaves: no member.
+    /// Announced that it leaves. Not a member.
     Left,
 }
 
 impl MemberState {
-    /// Whether the node is taken to serve.
+    /// Returns whether the node is a member, and so is assumed to serve clients.
     pub fn is_member(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 
-    /// The name that operators read, in figures and in the log.
+    /// Returns the name that operators read, in the counters and in the log.
     pub fn operator_name(self) -> &'static str {
         match self {
             MemberState::Unknown => "absent",
@@ -40,33 +41,34 @@
     }
 }
 
-/// What a node knows of another one.
+/// What a node knows about another one.
 #[derive(Debug, Clone)]
 pub struct Member {
-    /// Its state.
+    /// Its current state.
     pub state: MemberState,
     /// Its highest known incarnation.
     pub incarnation: u32,
-    /// When it came into this state; moved on by the length of a stall of the observer.
+    /// When it entered this state. A stall of the observer moves this time forward by the length of
+    /// the stall.
     pub since: Time,
-    /// When a datagram of its present incarnation last came from it.
+    /// When the newest datagram of its current incarnation was received.
     pub heard: Option<Time>,
-    /// Nodes that had no answer from it, in the order in which this became known.
+    /// Nodes whose probes of it failed, in the order in which this node learned of them.
     pub suspectors: Vec<NodeId>,
     /// Nodes that have declared it dead.
     pub(crate) declared_dead_by: Vec<NodeId>,
     /// Suspectors needed to declare it dead.
     pub(crate) required_confirmations: usize,
-    /// Until then rumors of its present incarnation raise no suspicion.
+    /// Until this time, rumors about its current incarnation raise no suspicion.
     pub(crate) suspicion_holdoff_until: Time,
-    /// The sequence of its newest datagram.
+    /// The sequence number of its newest datagram.
     pub(crate) last_sequence: u32,
-    /// It has just started and wants as many entries as fit.
+    /// Whether it has just started and wants as many table entries as fit into a datagram.
     pub(crate) wants_full_table: bool,
 }
 
 impl Member {
-    /// A node that was never heard of.
+    /// Returns the row of a node about which nothing is known.
     pub(crate) fn unknown() -> Member {
         Member {
             state: MemberState::Unknown,
@@ -88,19 +90,19 @@
     }
 }
 
-/// A change of a node's state, for operators.
+/// A state change of a node, recorded for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StateChange {
-    /// When it was made.
+    /// When this node made the change.
     pub at: Time,
-    /// The node.
+    /// The node whose state changed.
     pub node: NodeId,
-    /// Its state before.
+    /// Its state before the change.
     pub from: MemberState,
-    /// Its state after.
+    /// Its state after the change.
     pub to: MemberState,
-    /// Its incarnation after.
+    /// Its incarnation after the change.
     pub incarnation: u32,
-    /// Its suspectors before.
+    /// Its suspectors before the change.
     pub suspectors: Vec<NodeId>,
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The state machine: its state, its timer, and what callers can ask of it.
+//! The membership state machine: its state, its timer, and the queries that callers can make.
 use quartzhub_policy::{Pcg, Time};
 use serde::Serialize;
 
@@ -13,28 +13,28 @@
 use crate::transmit::TransmitCursors;
 use crate::{wire, Datagram, Limits, NodeId};
 
-/// What was sent and received, and what became of it.
+/// Counters of the datagrams and of the protocol.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct MembershipCounters {
-    /// Datagrams.
+    /// Datagrams sent, received and dropped.
     #[serde(flatten)]
     pub traffic: TrafficCounters,
-    /// Probes and what they showed.
+    /// Probes, stalls and outdated datagrams.
     #[serde(flatten)]
     pub protocol: ProtocolCounters,
 }
 
-/// What the protocol has done. Operators read the renamed fields under their older names.
+/// Counters of the protocol. Fields with a `rename` attribute keep the names that operators read.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct ProtocolCounters {
-    /// Datagrams of a former incarnation, reordered or replayed.
+    /// Outdated datagrams received: of an earlier incarnation, reordered or replayed.
     #[serde(rename = "old")]
     pub outdated: u64,
-    /// Times that this node found its own timer late.
+    /// Stalls of this node's process, detected by its own late timer.
     pub stalls: u64,
     /// Probes sent.
     pub probes: u64,
-    /// Probes without any answer.
+    /// Probes without any ack, direct or indirect.
     #[serde(rename = "failed")]
     pub failed_probes: u64,
 }
@@ -42,7 +42,8 @@
 /// One node's view of which nodes are alive.
 pub struct Membership {
     pub(crate) me: NodeId,
-    /// Raised above whatever other nodes say of this one.
+    /// Raised above every incarnation under which other nodes suspect this node, or know an earlier
+    /// process of it.
     pub(crate) incarnation: u32,
     pub(crate) limits: Limits,
     pub(crate) rng: Pcg,
@@ -59,7 +60,8 @@
 }
 
 impl Membership {
-    /// `nodes`: how many are configured, this one among them.
+    /// Creates the state machine of node `me`. `nodes` is the number of configured nodes, including
+    /// this one.
     pub fn new(me: NodeId, nodes: usize, fleet: u32, seed: u64, limits: Limits) -> Membership {
         let endpoint = DatagramEndpoint::new(EndpointConfig {
             version: wire::VERSION,
@@ -95,51 +97,51 @@
         }
     }
 
-    /// Starts the timer.
+    /// Starts the timer. The first probe period has a random length, so that nodes started at the
+    /// same time do not probe in lockstep.
     pub fn start(&mut self, now: Time) {
         self.table.start(now);
-        self.local_health.on_answer(now);
-        // Guards against a fleet that started at once and probes in step.
+        self.local_health.on_response(now);
         let first_period = self.limits.probe_period.times(self.rng.unit());
         self.detector.start(now + first_period);
     }
 
-    /// This node.
+    /// Returns this node's id.
     pub fn me(&self) -> NodeId {
         self.me
     }
 
-    /// This node's incarnation.
+    /// Returns this node's incarnation.
     pub fn incarnation(&self) -> u32 {
         self.incarnation
     }
 
-    /// All configured nodes, in their order.
+    /// Returns all configured nodes, in the order of their ids.
     pub fn all(&self) -> impl Iterator<Item = (NodeId, &Member)> {
         self.table.all()
     }
 
-    /// What is known of a node.
+    /// Returns what is known about a node; none if it is not configured.
     pub fn member(&self, node: NodeId) -> Option<&Member> {
         self.table.get(node)
     }
 
-    /// How many nodes are members, this one among them.
+    /// Returns the number of members, including this node.
     pub fn member_count(&self) -> usize {
         self.table.member_count()
     }
 
-    /// The most recent changes of state.
+    /// Returns the most recent state changes.
     pub fn recorded_changes(&self) -> impl Iterator<Item = &StateChange> {
         self.table.recorded_changes()
     }
 
-    /// How many changes of state there were, also those that are no longer recorded.
+    /// Returns the total number of state changes, including those no longer recorded.
     pub fn change_count(&self) -> u64 {
         self.table.change_count()
     }
 
-    /// What was sent and received, and what became of it.
+    /// Returns the counters of the datagrams and of the protocol.
     pub fn counters(&self) -> MembershipCounters {
         MembershipCounters {
             traffic: self.endpoint.traffic(),
@@ -147,13 +149,13 @@
         }
     }
 
-    /// When `tick` has to be called.
+    /// Returns the time at which `tick` has to be called next.
     pub fn due(&self) -> Time {
         let push = self.drain_overrides.next_push();
         push.into_iter().fold(self.detector.due(), Time::min)
     }
 
-    /// Does what is due.
+    /// Performs all actions that are due: probes, suspicion timeouts, nacks and pushes.
     pub fn tick(&mut self, now: Time, out: &mut Vec<Datagram>) {
         self.detect_stall(now);
         self.send_due_nacks(now, out);
@@ -165,13 +167,13 @@
             return;
         }
         self.conclude_probe(now);
-        if self.may_blame_others(now) {
+        if self.may_suspect_others(now) {
             self.expire_suspicions(now);
         }
         self.detector.begin_period(now, self.limits.probe_period);
         self.send_join_requests(out);
         self.ping_non_member(out);
-        self.call_for_witnesses(now, out);
+        self.solicit_heard_reports(now, out);
         self.probe_next_member(now, out);
     }
 }
--- a/crates/membership/src/rate_limiter.rs
+++ b/crates/membership/src/rate_limiter.rs
@@ -1,4 +1,4 @@
-//! A token bucket for each sender.
+//! A rate limiter with one token bucket for each sender.
 use quartzhub_policy::Time;
 
 use crate::NodeId;
@@ -18,7 +18,7 @@
 /// let mut limiter = RateLimiter::new(2, 10.0, 3.0);
 /// let admitted = (0..5).filter(|_| limiter.admits(Time(0), NodeId(1))).count();
 /// assert_eq!(admitted, 3);
-/// // Another sender has a bucket of its own, and a tenth of a second later there is one more token.
+/// // Another sender has its own bucket, and after 100 ms there is one more token.
 /// assert!(limiter.admits(Time(0), NodeId(0)));
 /// assert!(limiter.admits(Time(0) + Span::ms(100), NodeId(1)));
 /// ```
@@ -30,7 +30,7 @@
 }
 
 impl RateLimiter {
-    /// For so many senders, each with a full bucket.
+    /// Creates a limiter for `senders` senders, each with a full bucket.
     pub fn new(senders: usize, per_second: f64, burst: f64) -> RateLimiter {
         let full = Bucket {
             tokens: burst,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Takes a token of this sender; false if it has none left.
+    /// Takes a token from the sender's bucket; returns false if it is empty.
     pub fn admits(&mut self, now: Time, from: NodeId) -> bool {
         let Some(bucket) = self.buckets.get_mut(from.index()) else {
             return false;
--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -1,4 +1,5 @@
-//! Datagrams received: what they show of their sender, and what they say of others.
+//! Handles received datagrams: what they show about their sender, and their entries about other
+//! nodes.
 use quartzhub_policy::Time;
 
 use crate::endpoint::Received;
@@ -8,7 +9,7 @@
 use crate::{Datagram, NodeId};
 
 impl Membership {
-    /// Takes in a datagram that came from the address of `from`.
+    /// Handles a datagram received from the address of node `from`.
     pub fn receive(&mut self, now: Time, from: NodeId, bytes: &[u8], out: &mut Vec<Datagram>) {
         let received = self.endpoint.receive::<Head, Entry>(now, from, bytes);
         let Some(Received { head, entries }) = received else {
@@ -17,16 +18,18 @@
         self.detect_stall(now);
         let is_current = self.on_heard(now, &head);
         for entry in &entries {
-            // The view of a former incarnation, or of a node declared dead, counts only for what it says of this node. A
-            // drain override counts whoever sends it and however late: an older version changes nothing.
-            let counts =
+            // A sender of an earlier incarnation, or one declared dead, has an outdated view: only
+            // its entries about this node count. A drain override always counts, since an older
+            // version changes nothing.
+            let is_accepted =
                 is_current || entry.node() == self.me || matches!(entry, Entry::DrainOverride(_));
-            if counts {
+            if is_accepted {
                 self.on_entry(now, from, *entry);
             }
         }
         self.push_drain_overrides(now, out);
-        // Also an outdated sender is answered, so that it learns by what incarnation it is known.
+        // An outdated sender gets an ack as well, so that it learns the incarnation recorded for
+        // it.
         match head.kind {
             MessageKind::Ping { .. } => {
                 let ack = self.head(MessageKind::Ack, self.me, head.probe);
@@ -38,7 +41,8 @@
         }
     }
 
-    /// Takes a datagram for a sign of life, unless it is outdated; true if the sender's view is current.
+    /// Records a datagram as evidence that its sender is alive, unless it is outdated. Returns
+    /// whether the sender's view is current.
     fn on_heard(&mut self, now: Time, head: &Head) -> bool {
         let node = head.from;
         let incarnation = head.incarnation;
@@ -54,7 +58,8 @@
         if incarnation > incarnation_before || state_before == MemberState::Unknown {
             self.on_alive(now, node, incarnation);
         } else if !self.table.is_newest(node, head.sequence) {
-            // Reordered or replayed: what it says may be true, but it is no sign of life now.
+            // Reordered or replayed: its entries may be true, but it does not show that the sender
+            // is alive now.
             self.counters.outdated += 1;
             return true;
         }
@@ -92,7 +97,7 @@
     fn on_entry_about_me(&mut self, now: Time, entry: Entry) {
         match entry {
             Entry::Alive { incarnation, .. } | Entry::Heard { incarnation, .. } => {
-                // Of a process before this one.
+                // Left over from an earlier process of this node.
                 if incarnation > self.incarnation {
                     self.raise_incarnation_above(incarnation);
                 }
@@ -111,19 +116,20 @@
         }
     }
 
-    /// Another node hears one that is suspected.
+    /// Handles a report that another node hears a suspected member.
     fn on_heard_report(&mut self, now: Time, node: NodeId, incarnation: u32, report: Entry) {
-        let is_news = self.table.get(node).is_some_and(|member| {
+        let is_new = self.table.get(node).is_some_and(|member| {
             member.state == MemberState::Suspect && member.incarnation <= incarnation
         });
-        if is_news && !self.limits.disabled.heard_reports {
+        if is_new && !self.limits.disabled.heard_reports {
             self.table
                 .clear_suspicion(now, node, self.limits.suspicion_holdoff);
             self.dissemination.put(report);
         }
     }
 
-    /// Another node has declared one dead: it counts as one more suspector, and no more than that.
+    /// Handles another node's declaration that a member is dead. It counts as one more suspector,
+    /// and no more than that.
     fn on_dead(&mut self, now: Time, node: NodeId, incarnation: u32, from: NodeId) {
         if !self.limits.disabled.confirmations {
             self.suspect(now, node, incarnation, from);
--- a/crates/membership/src/refutation.rs
+++ b/crates/membership/src/refutation.rs
@@ -1,11 +1,12 @@
-//! Refutation: a node that others suspect raises its incarnation.
+//! Refutation: a node that others suspect raises its own incarnation to show that it is alive.
 use quartzhub_policy::Time;
 
 use crate::membership::Membership;
 use crate::wire::{Entry, MAX_INCARNATION};
 
 impl Membership {
-    /// Other nodes take this one for less than alive, as of an incarnation. One that leaves lets them.
+    /// Handles a report that this node is suspect, dead or left as of an incarnation. A node that
+    /// is leaving does not refute it.
     pub(crate) fn refute(&mut self, now: Time, incarnation: u32) {
         self.local_health.on_suspected(now);
         let is_outdated = incarnation < self.incarnation;
@@ -15,7 +16,7 @@
         self.raise_incarnation_above(incarnation);
     }
 
-    /// Takes an incarnation above one that other nodes know of this one.
+    /// Raises this node's incarnation above one that other nodes know.
     pub(crate) fn raise_incarnation_above(&mut self, known: u32) {
         let incarnation = known.saturating_add(1).min(MAX_INCARNATION);
         let node = self.me;
--- a/crates/membership/src/register.rs
+++ b/crates/membership/src/register.rs
@@ -1,8 +1,8 @@
-//! A register of versioned values: one for each subject, which holds at every node until a version that supersedes it
-//! arrives. Bounded in number.
+//! A bounded register of versioned values, one for each subject. A value holds at every node until
+//! a version that supersedes it arrives.
 use quartzhub_policy::{Span, Time};
 
-/// A value about a subject, of which every node keeps the version that supersedes all others.
+/// A value about a subject. Every node keeps the version that supersedes all others.
 ///
 /// ```
 /// use quartzhub_membership::register::{Register, Versioned};
@@ -38,16 +38,17 @@
 /// assert!(!roads.put(Time(0), road(2, true), 0));
 /// ```
 pub trait Versioned: Copy + PartialEq {
-    /// What the value is about.
+    /// Identifies what the value is about.
     type Subject: PartialEq;
 
-    /// What the value is about.
+    /// Returns what the value is about.
     fn subject(&self) -> Self::Subject;
 
-    /// Whether it replaces the other one about the same subject; every node decides alike.
+    /// Returns whether this value replaces the other one about the same subject. Every node decides
+    /// alike.
     fn supersedes(&self, other: &Self) -> bool;
 
-    /// Whether it may be dropped to make room for another subject.
+    /// Returns whether the value may be evicted to free capacity for another subject.
     fn is_evictable(&self) -> bool;
 }
 
@@ -56,19 +57,19 @@
 pub struct VersionedEntry<V> {
     /// The value.
     pub value: V,
-    /// When this node took it over.
+    /// When this node stored it.
     pub since: Time,
-    /// Rounds in which it has yet to be pushed to others.
+    /// Number of rounds in which it is still to be pushed to other nodes.
     push_rounds_left: u32,
     next_push: Time,
 }
 
-/// Which of two values about a subject holds.
+/// The rule that decides which of two values about a subject holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ConflictResolution {
     /// The one that supersedes the other.
     ByVersion,
-    /// The one received last: a fault that tests put in.
+    /// The value received last holds: a fault that tests inject.
     LastReceived,
 }
 
@@ -78,13 +79,13 @@
     entries: Vec<VersionedEntry<V>>,
     max_entries: usize,
     conflict_resolution: ConflictResolution,
-    /// Entry that was last handed out by `next_round_robin`.
+    /// Index of the entry that `next_round_robin` returned last.
     cursor: usize,
     revision: u64,
 }
 
 impl<V: Versioned> Register<V> {
-    /// An empty register for so many subjects.
+    /// Creates an empty register for at most `max_entries` subjects.
     pub fn new(max_entries: usize) -> Register<V> {
         Register::with_conflict_resolution(max_entries, ConflictResolution::ByVersion)
     }
@@ -102,12 +103,12 @@
         }
     }
 
-    /// All entries.
+    /// Returns all entries.
     pub fn entries(&self) -> impl Iterator<Item = &VersionedEntry<V>> {
         self.entries.iter()
     }
 
-    /// The value about a subject.
+    /// Returns the value about a subject.
     pub fn get(&self, subject: &V::Subject) -> Option<V> {
         self.entries
             .iter()
@@ -115,12 +116,13 @@
             .find(|value| value.subject() == *subject)
     }
 
-    /// Grows with each change.
+    /// Returns a number that grows with each change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Takes a value over if it supersedes the one held; true if it did. It is then to be pushed in so many rounds.
+    /// Stores a value if it supersedes the stored one, to be pushed in `push_rounds` rounds.
+    /// Returns whether it was stored.
     pub fn put(&mut self, now: Time, value: V, push_rounds: u32) -> bool {
         let new = VersionedEntry {
             value,
@@ -128,18 +130,18 @@
             push_rounds_left: push_rounds,
             next_push: now,
         };
-        let held = self
+        let stored = self
             .entries
             .iter_mut()
             .find(|entry| entry.value.subject() == value.subject());
-        match held {
-            Some(held) => {
-                let supersedes = value.supersedes(&held.value)
+        match stored {
+            Some(stored) => {
+                let supersedes = value.supersedes(&stored.value)
                     || self.conflict_resolution == ConflictResolution::LastReceived;
-                if held.value == value || !supersedes {
+                if stored.value == value || !supersedes {
                     return false;
                 }
-                *held = new;
+                *stored = new;
             }
             None => {
                 if self.entries.len() >= self.max_entries && !self.evict_oldest() {
@@ -152,7 +154,7 @@
         true
     }
 
-    /// Drops the oldest entry that may be dropped; false if there is none.
+    /// Evicts the oldest evictable entry; returns false if there is none.
     fn evict_oldest(&mut self) -> bool {
         let oldest = self
             .entries
@@ -167,23 +169,23 @@
         true
     }
 
-    /// The values in turn, for nodes that a rumor has missed.
+    /// Returns the values one after another, to send them to nodes that missed the rumor.
     pub fn next_round_robin(&mut self) -> Option<V> {
         self.cursor = (self.cursor + 1) % self.entries.len().max(1);
         self.entries.get(self.cursor).map(|entry| entry.value)
     }
 
-    /// How many entries there are.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are no entries.
+    /// Returns whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// When the next push is due.
+    /// Returns the time of the next push, if one is pending.
     pub fn next_push(&self) -> Option<Time> {
         self.entries
             .iter()
@@ -192,7 +194,7 @@
             .min()
     }
 
-    /// A value that is to be pushed now; its next round is due after the interval.
+    /// Returns a value that is due for a push, and schedules its next round after the interval.
     pub fn take_due_push(&mut self, now: Time, interval: Span) -> Option<V> {
         let entry = self
             .entries
--- a/crates/membership/src/sim/links.rs
+++ b/crates/membership/src/sim/links.rs
@@ -1,29 +1,30 @@
-//! The links of an emulated network: which are cut, what they lose, and what was sent over them.
+//! The links of an emulated network: which are cut, how many datagrams they lose, and how much was
+//! sent over them.
 use std::collections::BTreeSet;
 
 use quartzhub_policy::Pcg;
 
-/// All links between nodes, each direction by itself.
+/// All links between nodes. The two directions of a link are independent.
 #[derive(Default)]
 pub struct Links {
-    /// Share of datagrams that are lost.
+    /// Fraction of datagrams that are lost, from 0 to 1.
     pub loss: f64,
-    /// Links that are cut, by sender and receiver.
+    /// Links that are cut, as pairs of sender and receiver.
     pub cuts: BTreeSet<(usize, usize)>,
     /// Datagrams sent.
     pub sent: u64,
     /// Bytes sent.
     pub sent_bytes: u64,
-    /// Length of the longest datagram, in bytes.
-    pub longest: usize,
+    /// Size of the largest datagram sent, in bytes.
+    pub max_datagram_bytes: usize,
 }
 
 impl Links {
-    /// Counts a datagram as sent; whether the link delivers it.
+    /// Counts a datagram as sent; returns whether the link delivers it.
     pub fn delivers(&mut self, from: usize, to: usize, size: usize, rng: &mut Pcg) -> bool {
         self.sent += 1;
         self.sent_bytes += size as u64;
-        self.longest = self.longest.max(size);
+        self.max_datagram_bytes = self.max_datagram_bytes.max(size);
         !self.cuts.contains(&(from, to)) && rng.unit() >= self.loss
     }
 
--- a/crates/membership/src/sim/membership.rs
+++ b/crates/membership/src/sim/membership.rs
@@ -1,4 +1,4 @@
-//! The membership's state machines in an emulated network.
+//! Membership state machines in an emulated network.
 use quartzhub_policy::{Span, Time};
 
 use super::{EmulatedNetwork, EmulatedProcess, Launch, NetworkConfig};
@@ -10,7 +10,7 @@
 /// The name of the emulated fleet.
 pub const FLEET: &str = "emulated";
 
-/// Datagrams that an operating system keeps for a process that is paused.
+/// Datagrams that the operating system buffers for a paused process.
 const RECEIVE_BUFFER: usize = 800;
 
 /// Nodes that run the membership protocol.
@@ -45,19 +45,20 @@
 }
 
 impl EmulatedNetwork<Membership> {
-    /// A network of nodes that have not been started, with a delay of 1 to 2 ms each way.
+    /// Creates a network of nodes that have not been started, with a delay of 1 to 2 ms in each
+    /// direction.
     pub fn new(nodes: usize, limits: Limits, seed: u64) -> Network {
         let config = NetworkConfig {
             delay: Span::ms(1),
             jitter: Span::ms(1),
-            duplicates: Some(0.0),
+            duplicate_probability: Some(0.0),
             receive_buffer: RECEIVE_BUFFER,
             min_tick_interval: Span::ms(1),
         };
         Network::with_config(nodes, limits, config, seed)
     }
 
-    /// Lets a node announce that it leaves, and ends its process.
+    /// Makes a node announce that it leaves, and ends its process.
     pub fn leave(&mut self, node: usize) {
         let now = self.now;
         let mut out = Vec::new();
@@ -68,7 +69,7 @@
         self.kill(node);
     }
 
-    /// Lets a node issue a drain override, by an operator's order.
+    /// Makes a node issue a drain override, as if on an operator's command.
     pub fn set_drain_override(
         &mut self,
         node: usize,
@@ -85,14 +86,15 @@
         issued
     }
 
-    /// A node's state as another one sees it, if that one's process runs or is paused.
+    /// Returns a node's state as seen by another node, if the observer's process runs or is paused.
     pub fn state(&self, node: usize, observer: usize) -> Option<MemberState> {
         let observer = self.process(observer)?;
         let member = observer.member(NodeId(node as u16))?;
         Some(member.state)
     }
 
-    /// Pairs of nodes that run of which the one takes the other for no member.
+    /// Returns the number of pairs of running nodes in which the one does not consider the other a
+    /// member.
     pub fn false_removals(&self) -> usize {
         let runs = |node: usize| self.process(node).is_some() && self.paused_since(node).is_none();
         self.count_pairs(|observer, node| {
@@ -100,7 +102,8 @@
         })
     }
 
-    /// Pairs of nodes of which the one runs, and takes the other for a member that does not.
+    /// Returns the number of pairs in which a running node considers a node without a process a
+    /// member.
     pub fn missed_removals(&self) -> usize {
         let runs = |node: usize| self.process(node).is_some();
         self.count_pairs(|observer, node| {
--- a/crates/membership/src/sim/mod.rs
+++ b/crates/membership/src/sim/mod.rs
@@ -1,4 +1,4 @@
-//! Emulated networks for experiments and tests: the same run from the same seed.
+//! Emulated networks for experiments and tests. The same seed gives the same run.
 mod links;
 mod membership;
 mod network;
--- a/crates/membership/src/sim/network.rs
+++ b/crates/membership/src/sim/network.rs
@@ -1,23 +1,24 @@
-//! An emulated network between state machines of any kind: loss, delay, duplicates, one-sided cuts, pauses, kills, restarts
-//! and clocks that run apart, by discrete events.
+//! A discrete-event emulation of a network between state machines of any kind, with loss, delay,
+//! duplicates, one-way cuts, pauses, kills, restarts and clock drift.
 use quartzhub_policy::{Pcg, Span, Time};
 
 use super::node::{Buffered, Clock, Node};
 use super::{EmulatedProcess, EventQueue, Launch, Links};
 use crate::{Datagram, NodeId};
 
-/// What holds for a whole network.
+/// Parameters of a whole network.
 #[derive(Debug, Clone)]
 pub struct NetworkConfig {
-    /// Least delay of a datagram.
+    /// Minimum delay of a datagram.
     pub delay: Span,
-    /// Greatest additional delay of a datagram.
+    /// Maximum additional delay of a datagram.
     pub jitter: Span,
-    /// Share of datagrams that arrive twice; without one no random number is drawn for it.
-    pub duplicates: Option<f64>,
-    /// Datagrams that the operating system keeps for a process that is paused.
+    /// Fraction of datagrams that arrive twice. With `None`, no random number is drawn for
+    /// duplicates.
+    pub duplicate_probability: Option<f64>,
+    /// Datagrams that the operating system buffers for a paused process.
     pub receive_buffer: usize,
-    /// Least time between two calls of a process's `tick`.
+    /// Minimum time between two calls of a process's `tick`.
     pub min_tick_interval: Span,
 }
 
@@ -37,15 +38,15 @@
     },
 }
 
-/// Nodes with a process each, and the links between them.
+/// Nodes with one process each, and the links between them.
 pub struct EmulatedNetwork<P: EmulatedProcess> {
-    /// The time by an exact clock.
+    /// The current time, by an exact clock.
     pub now: Time,
-    /// What holds for all datagrams.
+    /// Parameters of the network.
     pub config: NetworkConfig,
     /// The links, which can be cut.
     pub links: Links,
-    /// What all processes are configured with when they start.
+    /// Settings passed to every process when it starts.
     pub settings: P::Settings,
     nodes: Vec<Node<P>>,
     seed: u64,
@@ -54,7 +55,7 @@
 }
 
 impl<P: EmulatedProcess> EmulatedNetwork<P> {
-    /// A network of nodes that have not been started.
+    /// Creates a network of nodes that have not been started.
     pub fn with_config(
         nodes: usize,
         settings: P::Settings,
@@ -73,17 +74,18 @@
         }
     }
 
-    /// How many nodes there are.
+    /// Returns the number of nodes.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Whether there are no nodes.
+    /// Returns whether there are no nodes.
     pub fn is_empty(&self) -> bool {
         self.nodes.is_empty()
     }
 
-    /// Gives each node a random clock: its rate differs from the exact one by a share of `drift` at most.
+    /// Gives each node a random clock, whose rate differs from the exact one by at most the
+    /// fraction `drift`, and which starts at up to `max_offset_us` microseconds.
     pub fn randomize_clocks(&mut self, drift: f64, max_offset_us: f64) {
         for node in &mut self.nodes {
             node.clock = Clock {
@@ -93,12 +95,12 @@
         }
     }
 
-    /// Sets how fast a node's clock runs; to be called before it starts.
+    /// Sets the rate of a node's clock, where 1 is exact. To be called before the node starts.
     pub fn set_clock_rate(&mut self, node: usize, rate: f64) {
         self.nodes[node].clock.rate = rate;
     }
 
-    /// A node's clock at some time.
+    /// Returns what a node's clock shows at a point of exact time.
     pub fn clock(&self, node: usize, at: Time) -> Time {
         self.nodes[node].clock.at(at)
     }
@@ -119,9 +121,9 @@
             now,
         };
         let process = P::launch(&self.settings, launch);
-        let wait = (process.due() - now).times(1.0 / started.clock.rate);
+        let delay = (process.due() - now).times(1.0 / started.clock.rate);
         started.process = Some(process);
-        self.schedule_tick(node, self.now + wait);
+        self.schedule_tick(node, self.now + delay);
     }
 
     /// Starts all nodes.
@@ -129,26 +131,27 @@
         (0..self.len()).for_each(|node| self.start(node));
     }
 
-    /// Ends a node's process, without any notice to others.
+    /// Ends a node's process without any announcement to others.
     pub fn kill(&mut self, node: usize) {
         self.nodes[node].process = None;
         self.nodes[node].incarnation += 1;
     }
 
-    /// Stops a node's process until `resume`.
+    /// Pauses a node's process until `resume`.
     pub fn pause_until_resumed(&mut self, node: usize) {
         let now = self.now;
         self.nodes[node].paused_since.get_or_insert(now);
     }
 
-    /// Stops a node's process for a time.
+    /// Pauses a node's process for a duration.
     pub fn pause(&mut self, node: usize, duration: Span) {
         self.pause_until_resumed(node);
         self.events
             .schedule(self.now + duration, Event::Resume { node });
     }
 
-    /// Lets a paused process go on. What it finds first, its timer or the datagrams kept for it, is up to the system.
+    /// Resumes a paused process. Whether its timer or the buffered datagrams come first is random,
+    /// since an operating system may do either.
     pub fn resume(&mut self, node: usize) {
         let resumed = &mut self.nodes[node];
         if resumed.paused_since.take().is_none() {
@@ -168,36 +171,36 @@
         }
     }
 
-    /// A node's process, if it runs or is paused.
+    /// Returns a node's process, if it runs or is paused.
     pub fn process(&self, node: usize) -> Option<&P> {
         self.nodes[node].process.as_ref()
     }
 
-    /// A node's process, if it runs or is paused.
+    /// Returns a node's process for changes, if it runs or is paused.
     pub fn process_mut(&mut self, node: usize) -> Option<&mut P> {
         self.nodes[node].process.as_mut()
     }
 
-    /// Since when a node's process is paused.
+    /// Returns since when a node's process has been paused, if it is.
     pub fn paused_since(&self, node: usize) -> Option<Time> {
         self.nodes[node].paused_since
     }
 
-    /// Hands a datagram over now, whatever the links do.
+    /// Delivers a datagram now, regardless of the links.
     pub fn inject(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         let arrival = Event::Arrival { from, to, bytes };
         self.events.schedule(self.now, arrival);
     }
 
-    /// Sends datagrams over the links.
+    /// Sends datagrams over the links, which may lose, delay or duplicate them.
     pub fn send(&mut self, from: usize, datagrams: Vec<Datagram>) {
         for Datagram { to, bytes } in datagrams {
             let to = to.index();
-            let delivers = self.links.delivers(from, to, bytes.len(), &mut self.rng);
-            if !delivers {
+            let is_delivered = self.links.delivers(from, to, bytes.len(), &mut self.rng);
+            if !is_delivered {
                 continue;
             }
-            for _ in 0..self.copies() {
+            for _ in 0..self.copy_count() {
                 let delay = self.config.delay + self.config.jitter.times(self.rng.unit());
                 let bytes = bytes.clone();
                 let arrival = Event::Arrival { from, to, bytes };
@@ -206,20 +209,21 @@
         }
     }
 
-    fn copies(&mut self) -> usize {
-        match self.config.duplicates {
-            Some(share) if self.rng.unit() < share => 2,
+    fn copy_count(&mut self) -> usize {
+        match self.config.duplicate_probability {
+            Some(probability) if self.rng.unit() < probability => 2,
             _ => 1,
         }
     }
 
-    /// Runs for some time.
+    /// Runs the emulation for a span of time.
     pub fn play(&mut self, span: Span) {
         let until = self.now + span;
         while self.step(until) {}
     }
 
-    /// Handles the next event until then; false, and that time, if there is none.
+    /// Handles the next event up to `until`. If there is none, advances the time to `until` and
+    /// returns false.
     pub fn step(&mut self, until: Time) -> bool {
         let Some((at, event)) = self.events.pop_until(until) else {
             self.now = until;
@@ -250,9 +254,9 @@
         let now = node.clock.at(self.now);
         let mut out = Vec::new();
         process.tick(now, &mut out);
-        let wait = (process.due() - now).max(self.config.min_tick_interval);
-        let wait = wait.times(1.0 / node.clock.rate);
-        self.schedule_tick(at, self.now + wait);
+        let delay = (process.due() - now).max(self.config.min_tick_interval);
+        let delay = delay.times(1.0 / node.clock.rate);
+        self.schedule_tick(at, self.now + delay);
         self.send(at, out);
     }
 
--- a/crates/membership/src/sim/node.rs
+++ b/crates/membership/src/sim/node.rs
@@ -1,18 +1,18 @@
 //! A node of an emulated network.
 use quartzhub_policy::Time;
 
-/// A datagram that waits for a process that is paused.
+/// A datagram buffered for a paused process.
 pub(super) struct Buffered {
     pub(super) from: usize,
     pub(super) bytes: Vec<u8>,
 }
 
-/// A node's clock.
+/// A node's clock, which may run fast or slow.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Clock {
-    /// How fast it runs.
+    /// Its rate, where 1 is exact.
     pub(super) rate: f64,
-    /// What it showed at the beginning, in microseconds.
+    /// What it shows at time zero, in microseconds.
     pub(super) offset: i64,
 }
 
--- a/crates/membership/src/sim/process.rs
+++ b/crates/membership/src/sim/process.rs
@@ -1,37 +1,37 @@
-//! What runs at the nodes of an emulated network.
+//! The interface of the processes in an emulated network.
 use quartzhub_policy::Time;
 
 use crate::{Datagram, NodeId};
 
-/// A state machine that can be run in an emulated network. Times are of its own clock.
+/// A state machine that can run in an emulated network. All times are by its own clock.
 pub trait EmulatedProcess {
-    /// What all processes of a network are configured with.
+    /// Settings shared by all processes of a network.
     type Settings;
 
-    /// A process that has just started.
+    /// Creates and starts a process.
     fn launch(settings: &Self::Settings, launch: Launch) -> Self;
 
-    /// When `tick` has to be called.
+    /// Returns the time at which `tick` has to be called next.
     fn due(&self) -> Time;
 
-    /// Does what is due.
+    /// Performs all actions that are due.
     fn tick(&mut self, now: Time, out: &mut Vec<Datagram>);
 
-    /// Takes in a datagram.
+    /// Handles a received datagram.
     fn receive(&mut self, now: Time, from: NodeId, bytes: &[u8], out: &mut Vec<Datagram>);
 }
 
-/// What a process is started with.
+/// The parameters with which a process is started.
 #[derive(Debug, Clone, Copy)]
 pub struct Launch {
-    /// The node that it runs at.
+    /// The node that the process runs on.
     pub me: NodeId,
-    /// How many nodes there are.
+    /// The number of nodes.
     pub nodes: usize,
-    /// The seed of its random choices.
+    /// The seed of its random number generator.
     pub seed: u64,
-    /// Grows with each start of the node.
+    /// A number that grows with each start and kill of the node.
     pub incarnation: u32,
-    /// The time by the node's clock.
+    /// The current time, by the node's clock.
     pub now: Time,
 }
--- a/crates/membership/src/sim/queue.rs
+++ b/crates/membership/src/sim/queue.rs
@@ -1,4 +1,4 @@
-//! A queue of events in the order of their time.
+//! A queue of events ordered by time.
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
@@ -6,7 +6,8 @@
 
 struct Scheduled<E> {
     at: Time,
-    /// How many were scheduled before it: events of one time come in that order.
+    /// Number of the event in the order of scheduling, which decides between events of the same
+    /// time.
     sequence: u64,
     event: E,
 }
@@ -31,7 +32,8 @@
     }
 }
 
-/// Events of a simulation, the earliest first; of one time, the first scheduled first.
+/// Events of a simulation, the earliest first. Events of the same time are returned in the order in
+/// which they were scheduled.
 pub struct EventQueue<E> {
     events: BinaryHeap<Reverse<Scheduled<E>>>,
     scheduled: u64,
@@ -47,7 +49,7 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Adds an event for this time.
+    /// Schedules an event at a time.
     pub fn schedule(&mut self, at: Time, event: E) {
         self.scheduled += 1;
         self.events.push(Reverse(Scheduled {
@@ -57,12 +59,12 @@
         }));
     }
 
-    /// Takes the next event.
+    /// Removes and returns the next event.
     pub fn pop(&mut self) -> Option<(Time, E)> {
         self.events.pop().map(|Reverse(next)| (next.at, next.event))
     }
 
-    /// Takes the next event if it is not later than this time.
+    /// Removes and returns the next event if it is not later than `until`.
     pub fn pop_until(&mut self, until: Time) -> Option<(Time, E)> {
         if self
             .events
--- a/crates/membership/src/table/entries.rs
+++ b/crates/membership/src/table/entries.rs
@@ -1,27 +1,28 @@
-//! Rows of the table as entries of datagrams.
+//! Converts table rows into datagram entries.
 use super::MemberTable;
 use crate::member::MemberState;
 use crate::wire::Entry;
 use crate::NodeId;
 
 impl MemberTable {
-    /// What this node should tell another about itself, so that it can refute; one that started again goes above its
-    /// former incarnation.
+    /// Returns the entry about a node that is sent to that node itself, so that it can refute it.
+    /// After a restart, the node raises its incarnation above the one in this entry.
     pub(crate) fn entry_for_itself(&self, node: NodeId) -> Option<Entry> {
         let member = self.get(node)?;
         let by = member.suspectors.first().copied();
         self.entry(node, by)
     }
 
-    /// A node's row of the table, for those that a rumor has missed. Of suspicions only this node's own: those of others
-    /// are rumors, which end.
+    /// Returns a node's row as an entry, for nodes that missed a rumor. A suspicion is included
+    /// only if this node is a suspector: suspicions of others spread as rumors, which end.
     pub(crate) fn anti_entropy_entry(&self, node: NodeId) -> Option<Entry> {
         let member = self.get(node)?;
         let by = member.suspectors.contains(&self.me).then_some(self.me);
         self.entry(node, by)
     }
 
-    /// A node's state as an entry; a suspicion in the name of `suspector`, none without one.
+    /// Returns a node's state as an entry. A suspicion is attributed to `suspector`; without one,
+    /// there is no entry.
     fn entry(&self, node: NodeId, suspector: Option<NodeId>) -> Option<Entry> {
         let member = self.get(node)?;
         let incarnation = member.incarnation;
--- a/crates/membership/src/table/mod.rs
+++ b/crates/membership/src/table/mod.rs
@@ -1,4 +1,4 @@
-//! The table of all configured nodes.
+//! The table of all configured nodes and their states.
 mod entries;
 mod transitions;
 
@@ -9,7 +9,7 @@
 use crate::member::{Member, MemberState, StateChange};
 use crate::NodeId;
 
-/// What this node knows of each configured node, itself among them.
+/// What this node knows about each configured node, including itself.
 pub(crate) struct MemberTable {
     me: NodeId,
     members: Vec<Member>,
@@ -54,12 +54,12 @@
             .map(|(id, _)| id)
     }
 
-    /// All members but this node.
+    /// Returns all members except this node.
     pub(crate) fn other_members(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.members().filter(|id| *id != self.me)
     }
 
-    /// How many members there are, this node among them.
+    /// Returns the number of members, including this node.
     pub(crate) fn member_count(&self) -> usize {
         self.members().count()
     }
@@ -74,17 +74,17 @@
             .is_some_and(|member| member.state == MemberState::Suspect)
     }
 
-    /// The most recent changes.
+    /// Returns the most recent state changes.
     pub(crate) fn recorded_changes(&self) -> impl Iterator<Item = &StateChange> {
         self.recorded_changes.iter()
     }
 
-    /// How many changes there were.
+    /// Returns the total number of state changes.
     pub(crate) fn change_count(&self) -> u64 {
         self.change_count
     }
 
-    /// One of the other nodes that are eligible, by a random number from 0 to 1.
+    /// Returns one of the other eligible nodes, chosen by a random number from 0 to 1.
     pub(crate) fn pick_other(
         &self,
         random: f64,
--- a/crates/membership/src/table/transitions.rs
+++ b/crates/membership/src/table/transitions.rs
@@ -1,4 +1,4 @@
-//! The rules by which news changes the table.
+//! The rules by which received information changes the table.
 use quartzhub_policy::{Span, Time};
 
 use super::MemberTable;
@@ -13,7 +13,8 @@
         }
     }
 
-    /// Takes a node for alive if its incarnation is news; true if it is. A suspicion that this ends is held off for a time.
+    /// Marks a node as alive if this incarnation is new; returns whether it is. If this ends a
+    /// suspicion, new suspicions are held off for a time.
     pub(crate) fn mark_alive(
         &mut self,
         now: Time,
@@ -24,9 +25,9 @@
         let Some(member) = self.members.get_mut(node.index()) else {
             return false;
         };
-        let is_first_word =
+        let is_first_report =
             member.state == MemberState::Unknown && incarnation == member.incarnation;
-        if incarnation <= member.incarnation && !is_first_word {
+        if incarnation <= member.incarnation && !is_first_report {
             return false;
         }
         if member.state == MemberState::Suspect {
@@ -39,7 +40,7 @@
         true
     }
 
-    /// Adds a suspector of a member; false where that is no news, or changes nothing.
+    /// Adds a suspector of a member; returns false if it is known already or changes nothing.
     pub(crate) fn add_suspector(
         &mut self,
         now: Time,
@@ -68,7 +69,7 @@
         true
     }
 
-    /// Ends a suspicion, since some node hears the member, and holds new ones off for a time.
+    /// Ends a suspicion because some node hears the member, and holds off new ones for a time.
     pub(crate) fn clear_suspicion(&mut self, now: Time, node: NodeId, holdoff: Span) {
         let Some(member) = self.members.get_mut(node.index()) else {
             return;
@@ -78,7 +79,7 @@
         self.transition(now, node, MemberState::Alive, incarnation);
     }
 
-    /// Notes that another node has declared a suspect dead.
+    /// Records that another node has declared a suspect dead.
     pub(crate) fn confirm_dead(&mut self, node: NodeId, incarnation: u32, by: NodeId) {
         let Some(member) = self.members.get_mut(node.index()) else {
             return;
@@ -86,37 +87,37 @@
         if member.state != MemberState::Suspect || member.incarnation != incarnation {
             return;
         }
-        let has_room = member.declared_dead_by.len() < member.required_confirmations;
-        if has_room && !member.declared_dead_by.contains(&by) {
+        let has_capacity = member.declared_dead_by.len() < member.required_confirmations;
+        if has_capacity && !member.declared_dead_by.contains(&by) {
             member.declared_dead_by.push(by);
         }
     }
 
-    /// Takes a member for dead; false if that is no news.
+    /// Marks a member as dead; returns false if nothing changes.
     pub(crate) fn mark_dead(&mut self, now: Time, node: NodeId, incarnation: u32) -> bool {
-        let is_news = self
+        let is_new = self
             .get(node)
             .is_some_and(|member| member.state.is_member() && incarnation >= member.incarnation);
-        if is_news {
+        if is_new {
             self.transition(now, node, MemberState::Dead, incarnation);
         }
-        is_news
+        is_new
     }
 
-    /// Notes that a node has left; false if that is no news.
+    /// Marks a node as left; returns false if nothing changes.
     pub(crate) fn mark_left(&mut self, now: Time, node: NodeId, incarnation: u32) -> bool {
         let Some(member) = self.get(node) else {
             return false;
         };
-        let is_news = incarnation > member.incarnation
+        let is_new = incarnation > member.incarnation
             || incarnation == member.incarnation && member.state != MemberState::Left;
-        if is_news {
+        if is_new {
             self.transition(now, node, MemberState::Left, incarnation);
         }
-        is_news
+        is_new
     }
 
-    /// Whether a datagram is newer than any before it of the node's present incarnation.
+    /// Returns whether a datagram is newer than all earlier ones of the node's current incarnation.
     pub(crate) fn is_newest(&self, node: NodeId, sequence: u32) -> bool {
         self.get(node)
             .is_some_and(|member| sequence > member.last_sequence)
@@ -136,7 +137,8 @@
         }
     }
 
-    /// Declares the suspects dead whose suspicion is confirmed and has timed out, and gives the rumors that say so.
+    /// Declares those suspects dead whose suspicion is confirmed and has timed out, and returns the
+    /// rumors to disseminate.
     pub(crate) fn expire_suspicions(
         &mut self,
         now: Time,
@@ -166,7 +168,8 @@
         rumors
     }
 
-    /// Moves all suspicion timeouts back, after this node was stalled for so long: refutations may be queued behind.
+    /// Extends all suspicion timeouts by the length of this node's stall: refutations may be queued
+    /// behind other datagrams.
     pub(crate) fn extend_suspicions(&mut self, stalled_for: Span) {
         for member in &mut self.members {
             if member.state == MemberState::Suspect {
--- a/crates/membership/src/transmit.rs
+++ b/crates/membership/src/transmit.rs
@@ -1,4 +1,5 @@
-//! Composes the datagrams that this node sends: the head, what rides along, and the announcement that it leaves.
+//! Builds the datagrams that this node sends: the head, the piggybacked entries, and the
+//! announcement that the node leaves.
 use quartzhub_policy::Time;
 
 use crate::membership::Membership;
@@ -6,18 +7,19 @@
 use crate::wire::{Entry, Head, MessageKind, Packet};
 use crate::{Datagram, NodeId};
 
-/// Drain overrides in the answer to a node that has just started: half of a datagram.
+/// Drain overrides in the ack to a node that has just started: half of a datagram.
 const MAX_HELLO_OVERRIDES: usize = 7;
 
-/// Table rows looked at for each anti-entropy entry that is sent: most rows of a large configuration may be of unknown nodes.
+/// Table rows examined for each anti-entropy entry sent. Most rows of a large configuration may
+/// belong to unknown nodes, which have no entry.
 const MAX_ROWS_PER_ENTRY: usize = 8;
 
-/// Where the next datagram goes on.
+/// Positions at which the next datagram continues.
 #[derive(Debug, Default)]
 pub(crate) struct TransmitCursors {
-    /// The sequence of the last datagram.
+    /// The sequence number of the last datagram.
     sequence: u32,
-    /// The table row that was sent last.
+    /// The table row that was examined last.
     table_row: usize,
 }
 
@@ -34,7 +36,8 @@
         }
     }
 
-    /// Pings a node, with an entry that has to be in the datagram; gives the ping's sequence, by which its ack is known.
+    /// Pings a node and returns the ping's sequence number, which its ack repeats. `required` is an
+    /// entry that the datagram has to contain.
     pub(crate) fn ping(
         &mut self,
         to: NodeId,
@@ -47,8 +50,9 @@
         head.sequence
     }
 
-    /// Sends a message. What is said of the receiver comes first, as it can refute it; then the most urgent rumors, and some
-    /// table rows behind them, so that whoever missed a rumor gets it later.
+    /// Sends a message. The entry about the receiver itself comes first, because the receiver can
+    /// refute it. The most urgent rumors follow, then some table rows, so that a node that missed a
+    /// rumor gets its content later.
     pub(crate) fn send(
         &mut self,
         to: NodeId,
@@ -78,7 +82,8 @@
         self.endpoint.send(to, packet, out);
     }
 
-    /// Transmissions of each rumor: grows with the logarithm of the fleet's size.
+    /// Returns how often each rumor is transmitted, which grows with the logarithm of the fleet's
+    /// size.
     fn max_transmissions(&self) -> u32 {
         let magnitude = (self.table.len() as f64 + 1.0).log10();
         let scaled = (self.limits.retransmit_multiplier * magnitude).ceil() as u32;
@@ -93,7 +98,7 @@
         }
     }
 
-    /// Adds rows from where the last datagram ended, while they fit.
+    /// Adds table rows, starting after the last row examined, while they fit.
     fn add_table_rows(&mut self, packet: &mut Packet, max: usize) {
         let rows = self.table.len();
         let mut added = 0;
@@ -113,7 +118,8 @@
         }
     }
 
-    /// Tells other nodes that this one leaves as planned, which is no failure.
+    /// Announces to other nodes that this node leaves as planned, so that they do not treat its
+    /// absence as a failure.
     pub fn leave(&mut self, now: Time, out: &mut Vec<Datagram>) {
         let node = self.me;
         let incarnation = self.incarnation;
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,5 +1,6 @@
-//! The encoding of datagrams: 256 bytes at most, with a version, the fleet's name and a checksum, and the messages of the
-//! membership protocol. postcard encodes variants by index and fields by order: their order must not change.
+//! The encoding of datagrams, and the messages of the membership protocol. A datagram has at most
+//! 256 bytes, with a version, a hash of the fleet's name, and a checksum. postcard encodes variants
+//! by index and fields by order, so the order of both must not change.
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
@@ -7,85 +8,87 @@
 use crate::endpoint::{DatagramEntry, DatagramHead};
 use crate::NodeId;
 
-/// The platform's bound on a datagram, in bytes.
+/// Maximum size of a datagram on the platform, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// The version of the membership protocol, the first byte of its datagrams.
+/// The version of the membership protocol, which is the first byte of its datagrams.
 pub const VERSION: u8 = 2;
 
-/// Version and fleet, in bytes.
+/// Size of the version and the fleet's hash, in bytes.
 const PREFIX_BYTES: usize = 5;
 
-/// CRC32 at the end of a datagram, in bytes.
+/// Size of the CRC32 at the end of a datagram, in bytes.
 const CHECKSUM_BYTES: usize = 4;
 
-/// Greatest incarnation that is accepted: a node raises its own at a restart and to refute, not a billion times.
+/// Maximum incarnation that is accepted. A node raises its incarnation only at a restart and to
+/// refute a suspicion, never a billion times.
 pub(crate) const MAX_INCARNATION: u32 = 1 << 30;
 
 /// The kind of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageKind {
-    /// Asks for an ack.
+    /// Requests an ack.
     Ping {
-        /// From a node that has just started and wants as many entries as fit.
+        /// Whether the sender has just started and wants as many table entries as fit.
         hello: bool,
     },
-    /// Asks the receiver to ping the target in the sender's place (indirect probe).
+    /// Requests an indirect probe: the receiver pings the target on behalf of the sender.
     PingReq,
-    /// The target answers.
+    /// The target has responded to a ping.
     Ack,
-    /// The target has not answered the node that was asked to ping it; that node itself is well.
+    /// The target has not responded to the node that performs the indirect probe. The nack also
+    /// shows that this node itself is reachable.
     Nack,
 }
 
-/// What a node says about another as of its incarnation, or a drain override.
+/// What a node reports about another as of an incarnation, or a drain override.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
     /// The node is alive.
     Alive {
-        /// The node.
+        /// The node that the entry is about.
         node: NodeId,
         /// Its incarnation.
         incarnation: u32,
     },
-    /// The node has not answered a probe.
+    /// The node has not responded to a probe.
     Suspect {
-        /// The node.
+        /// The node that the entry is about.
         node: NodeId,
         /// Its incarnation.
         incarnation: u32,
-        /// Who has probed it.
+        /// The node whose probe failed.
         by: NodeId,
     },
-    /// The node was heard after it was suspected.
+    /// A datagram of the node was received after it was suspected.
     Heard {
-        /// The node.
+        /// The node that the entry is about.
         node: NodeId,
         /// Its incarnation.
         incarnation: u32,
-        /// Who has heard it.
+        /// The node that received the datagram.
         by: NodeId,
     },
     /// The node is declared dead.
     Dead {
-        /// The node.
+        /// The node that the entry is about.
         node: NodeId,
         /// Its incarnation.
         incarnation: u32,
     },
     /// The node has left as planned.
     Left {
-        /// The node.
+        /// The node that the entry is about.
         node: NodeId,
         /// Its incarnation.
         incarnation: u32,
     },
-    /// An operator's order about a server.
+    /// An operator's drain override for a server.
     DrainOverride(DrainOverride),
 }
 
 impl Entry {
-    /// The incarnation, or the version of a drain override.
+    /// Returns the incarnation, or the version of a drain override.
     pub fn incarnation(&self) -> u32 {
         match *self {
             Entry::Alive { incarnation, .. }
@@ -97,7 +100,7 @@
         }
     }
 
-    /// The node that it is about, or the issuer of a drain override.
+    /// Returns the node that the entry is about, or the issuer of a drain override.
     pub fn node(&self) -> NodeId {
         match *self {
             Entry::Alive { node, .. }
@@ -111,7 +114,7 @@
 }
 
 impl DatagramEntry for Entry {
-    /// Guards against an incarnation that its node could not go above.
+    /// Rejects an incarnation so high that its node could not go above it to refute a suspicion.
     fn is_valid(&self, nodes: usize) -> bool {
         self.incarnation() <= MAX_INCARNATION && self.node().index() < nodes
     }
@@ -120,15 +123,15 @@
 /// The head of a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// The kind of message.
+    /// The kind of the message.
     pub kind: MessageKind,
     /// The sender.
     pub from: NodeId,
     /// The sender's incarnation.
     pub incarnation: u32,
-    /// Grows with each datagram of a sender's process.
+    /// Sequence number, which grows with each datagram of the sender's process.
     pub sequence: u32,
-    /// The probe that this belongs to, by the sequence of its ping.
+    /// The probe that the message belongs to, identified by the sequence number of its ping.
     pub probe: u32,
     /// The node that is probed.
     pub target: NodeId,
@@ -139,35 +142,35 @@
         self.from
     }
 
-    /// Guards against an incarnation that its node could not go above.
+    /// Rejects an incarnation so high that its node could not go above it to refute a suspicion.
     fn is_valid(&self, nodes: usize) -> bool {
         self.incarnation <= MAX_INCARNATION && self.target.index() < nodes
     }
 }
 
-/// Why a datagram can't be decoded.
+/// The reason why a datagram cannot be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DatagramError {
-    /// Too short or too long.
+    /// The datagram is too short or too long.
     Length,
     /// The checksum does not match.
     Checksum,
-    /// Of another protocol or version.
+    /// The datagram is of another protocol or version.
     Version,
-    /// Of another fleet.
+    /// The datagram is of another fleet.
     Fleet,
-    /// The content is not a head and entries.
-    Form,
+    /// The content does not parse as a head and entries.
+    Malformed,
 }
 
-/// A datagram in the making, to which entries are added while they fit.
+/// A datagram that is being built. Entries are added while they fit.
 pub struct Packet {
     bytes: [u8; MAX_DATAGRAM_BYTES],
     used: usize,
 }
 
 impl Packet {
-    /// A datagram with a head and no entries.
+    /// Starts a datagram with a head and no entries.
     pub fn new(version: u8, fleet: u32, head: &impl Serialize) -> Packet {
         let mut packet = Packet {
             bytes: [0; MAX_DATAGRAM_BYTES],
@@ -179,10 +182,10 @@
         packet
     }
 
-    /// Adds an entry; false if there is no room for it.
+    /// Adds an entry; returns false if it does not fit.
     pub fn add(&mut self, entry: &impl Serialize) -> bool {
-        let room = &mut self.bytes[self.used..MAX_DATAGRAM_BYTES - CHECKSUM_BYTES];
-        match postcard::to_slice(entry, room) {
+        let available = &mut self.bytes[self.used..MAX_DATAGRAM_BYTES - CHECKSUM_BYTES];
+        match postcard::to_slice(entry, available) {
             Ok(written) => {
                 self.used += written.len();
                 true
@@ -191,8 +194,8 @@
         }
     }
 
-    /// The datagram, with its checksum.
-    pub fn done(mut self) -> Vec<u8> {
+    /// Appends the checksum and returns the datagram.
+    pub fn finish(mut self) -> Vec<u8> {
         let checksum = crc32fast::hash(&self.bytes[..self.used]).to_le_bytes();
         let end = self.used + CHECKSUM_BYTES;
         self.bytes[self.used..end].copy_from_slice(&checksum);
@@ -200,12 +203,12 @@
     }
 }
 
-/// Decodes a datagram of the membership protocol, whole or not at all.
-pub fn read(bytes: &[u8], fleet: u32) -> Result<(Head, Vec<Entry>), DatagramError> {
+/// Decodes a datagram of the membership protocol, completely or not at all.
+pub fn decode_datagram(bytes: &[u8], fleet: u32) -> Result<(Head, Vec<Entry>), DatagramError> {
     decode(VERSION, bytes, fleet)
 }
 
-/// Decodes a datagram of any protocol, whole or not at all.
+/// Decodes a datagram of any protocol of this encoding, completely or not at all.
 pub fn decode<H, E>(version: u8, bytes: &[u8], fleet: u32) -> Result<(H, Vec<E>), DatagramError>
 where
     H: DeserializeOwned,
@@ -225,18 +228,18 @@
         return Err(DatagramError::Fleet);
     }
     let (head, mut rest) =
-        postcard::take_from_bytes(&body[PREFIX_BYTES..]).map_err(|_| DatagramError::Form)?;
+        postcard::take_from_bytes(&body[PREFIX_BYTES..]).map_err(|_| DatagramError::Malformed)?;
     let mut entries = Vec::new();
     while !rest.is_empty() {
         let (entry, remaining) =
-            postcard::take_from_bytes(rest).map_err(|_| DatagramError::Form)?;
+            postcard::take_from_bytes(rest).map_err(|_| DatagramError::Malformed)?;
         entries.push(entry);
         rest = remaining;
     }
     Ok((head, entries))
 }
 
-/// A fleet's name as it stands in each datagram.
+/// Returns the hash that identifies a fleet by its name in each datagram.
 pub fn fleet(name: &str) -> u32 {
     crc32fast::hash(name.as_bytes())
 }
--- a/crates/membership/tests/crashes.rs
+++ b/crates/membership/tests/crashes.rs
@@ -1,15 +1,15 @@
-//! Nodes that crash or stand still are told apart from each other; a promise also fails against a detector without the
-//! feature that it rests on.
+//! Crashed nodes are removed and paused nodes are not. Where a guarantee rests on a feature, the
+//! test also shows that it fails with the feature disabled.
 mod common;
 
 use quartzhub_membership::sim::Network;
 use quartzhub_membership::{DisabledFeatures, Limits, MemberState, NodeId};
 use quartzhub_policy::Span;
 
-use common::{flips, settled};
+use common::{converged_network, membership_flaps};
 
 #[test]
-fn a_killed_node_is_dead_for_all_and_one_that_never_started_is_no_member() {
+fn killed_node_is_dead_and_unstarted_node_is_unknown() {
     for nodes in [3, 5, 12, 48] {
         let mut network = Network::new(nodes + 1, Limits::default(), 1);
         (0..nodes).for_each(|node| network.start(node));
@@ -26,9 +26,9 @@
 }
 
 #[test]
-fn two_of_twelve_are_killed_with_a_fifth_of_datagrams_lost_and_exactly_they_are_removed() {
+fn only_killed_nodes_are_removed_while_datagrams_are_lost() {
     for seed in 1..=8 {
-        let mut network = settled(12, Limits::default(), seed);
+        let mut network = converged_network(12, Limits::default(), seed);
         network.links.loss = 0.2;
         network.play(Span::ms(5_000));
         network.kill(3);
@@ -50,20 +50,20 @@
 }
 
 #[test]
-fn paused_nodes_remove_nobody_and_are_back_at_once() {
+fn paused_nodes_remove_nobody_and_are_members_after_resuming() {
     for seed in 1..=8 {
-        let mut network = settled(12, Limits::default(), seed);
+        let mut network = converged_network(12, Limits::default(), seed);
         [0, 3, 5, 8, 11]
             .iter()
             .for_each(|node| network.pause(*node, Span::ms(3_000)));
         network.pause(2, Span::ms(30_000));
         network.play(Span::ms(3_500));
-        // Nodes that were paused take all others for members.
+        // Nodes that were paused still consider all running nodes members.
         for paused in [0, 3, 5, 8, 11] {
-            for awake in [1, 4, 6, 7, 9, 10] {
+            for running in [1, 4, 6, 7, 9, 10] {
                 assert!(
                     network
-                        .state(awake, paused)
+                        .state(running, paused)
                         .is_some_and(MemberState::is_member),
                     "seed {seed}"
                 );
@@ -71,44 +71,44 @@
         }
         network.play(Span::ms(28_500));
         assert_eq!(network.false_removals(), 0, "seed {seed}");
-        let blamed = (0..12)
-            .filter(|of| *of != 2)
-            .map(|of| flips(&network, of, 2).saturating_sub(1))
+        let suspected = (0..12)
+            .filter(|node| *node != 2)
+            .map(|node| membership_flaps(&network, node, 2).saturating_sub(1))
             .sum::<usize>();
         assert_eq!(
-            blamed, 0,
-            "seed {seed}: the one that slept for long has removed somebody"
+            suspected, 0,
+            "seed {seed}: the node that was paused for 30 s has removed another node"
         );
     }
 }
 
 #[test]
-fn without_local_health_a_paused_node_suspects_others() {
-    let blames = |limits: Limits| {
-        let mut network = settled(12, limits, 2);
-        let mut blamed = 0;
+fn paused_node_suspects_others_only_without_local_health() {
+    let count_suspicions = |limits: Limits| {
+        let mut network = converged_network(12, limits, 2);
+        let mut suspected = 0;
         for _ in 0..20 {
-            let begun = network.now;
+            let paused_at = network.now;
             network.pause(2, Span::ms(3_000));
             network.play(Span::ms(3_500));
-            let own = network
+            let own_changes = network
                 .process(2)
                 .into_iter()
-                .flat_map(|members| members.recorded_changes());
-            blamed += own
-                .filter(|change| change.at > begun && change.suspectors.contains(&NodeId(2)))
+                .flat_map(|membership| membership.recorded_changes());
+            suspected += own_changes
+                .filter(|change| change.at > paused_at && change.suspectors.contains(&NodeId(2)))
                 .count();
             network.play(Span::ms(6_000));
         }
-        blamed
+        suspected
     };
     let disabled = DisabledFeatures {
         local_health: true,
         ..DisabledFeatures::default()
     };
-    assert_eq!(blames(Limits::default()), 0);
+    assert_eq!(count_suspicions(Limits::default()), 0);
     assert!(
-        blames(Limits {
+        count_suspicions(Limits {
             disabled,
             ..Limits::default()
         }) > 0
--- a/crates/membership/tests/drain_overrides.rs
+++ b/crates/membership/tests/drain_overrides.rs
@@ -1,4 +1,4 @@
-//! Drain overrides over an emulated network with loss, partitions and restarts.
+//! Drain overrides in an emulated network with loss, partitions and restarts.
 use quartzhub_membership::sim::{Network, FLEET};
 use quartzhub_membership::wire::{fleet, Entry, Head, MessageKind, Packet};
 use quartzhub_membership::{
@@ -8,73 +8,82 @@
 
 const CACHE: ServerId = ServerId(0xfeed_beef_cafe_0001);
 
-fn settled(nodes: usize, limits: Limits, seed: u64) -> Network {
+fn converged_network(nodes: usize, limits: Limits, seed: u64) -> Network {
     let mut network = Network::new(nodes, limits, seed);
     network.start_all();
     network.play(Span::ms(8_000));
     network
 }
 
-fn drained(network: &Network, at: usize, server: ServerId) -> Option<bool> {
+fn drain_value(network: &Network, node: usize, server: ServerId) -> Option<bool> {
     network
-        .process(at)?
+        .process(node)?
         .drain_overrides()
         .find(|entry| entry.value.server == server)
         .map(|entry| entry.value.drain)
 }
 
-/// How many that run hold it so.
-fn hold(network: &Network, server: ServerId, drain: bool) -> usize {
+/// Returns the number of running nodes at which the override has this value.
+fn count_nodes_with(network: &Network, server: ServerId, drain: bool) -> usize {
     (0..network.len())
-        .filter(|at| drained(network, *at, server) == Some(drain))
+        .filter(|node| drain_value(network, *node, server) == Some(drain))
         .count()
 }
 
-/// Milliseconds until all hold it so, looked at every 20.
-fn until_all(network: &mut Network, server: ServerId, drain: bool, most_ms: i64) -> Option<i64> {
+/// Runs until the override has this value at all running nodes, checked every 20 ms. Returns the
+/// time taken in milliseconds, or none if it takes longer than `max_ms`.
+fn ms_until_all_have(
+    network: &mut Network,
+    server: ServerId,
+    drain: bool,
+    max_ms: i64,
+) -> Option<i64> {
     let running = (0..network.len())
-        .filter(|at| network.process(*at).is_some())
+        .filter(|node| network.process(*node).is_some())
         .count();
-    (0..=most_ms / 20)
+    (0..=max_ms / 20)
         .find(|step| {
             if *step > 0 {
                 network.play(Span::ms(20));
             }
-            hold(network, server, drain) == running
+            count_nodes_with(network, server, drain) == running
         })
         .map(|steps| steps * 20)
 }
 
 #[test]
-fn a_drain_override_and_its_revocation_reach_all_nodes_at_once_through_loss() {
+fn drain_override_and_revocation_reach_all_nodes_despite_loss() {
     let mut slowest = 0;
     for (nodes, loss) in [(3, 0.0), (12, 0.2), (48, 0.2), (200, 0.2), (400, 0.0)] {
         for seed in 1..=if nodes < 100 { 3 } else { 1 } {
-            let mut network = settled(nodes, Limits::default(), seed);
+            let mut network = converged_network(nodes, Limits::default(), seed);
             network.links.loss = loss;
             assert!(network.set_drain_override(nodes / 2, CACHE, true).is_ok());
-            let first =
-                until_all(&mut network, CACHE, true, 5_000).expect("the order at all nodes");
+            let drain_ms = ms_until_all_have(&mut network, CACHE, true, 5_000)
+                .expect("the drain reaches all nodes");
             assert!(network.set_drain_override(0, CACHE, false).is_ok());
-            let back =
-                until_all(&mut network, CACHE, false, 5_000).expect("the revocation at all nodes");
-            slowest = slowest.max(first).max(back);
+            let revocation_ms = ms_until_all_have(&mut network, CACHE, false, 5_000)
+                .expect("the revocation reaches all nodes");
+            slowest = slowest.max(drain_ms).max(revocation_ms);
             if loss == 0.0 {
                 assert!(
-                    first <= 200 && back <= 200,
-                    "{nodes} nodes: {first} and {back} ms"
+                    drain_ms <= 200 && revocation_ms <= 200,
+                    "{nodes} nodes: {drain_ms} and {revocation_ms} ms"
                 );
             }
         }
     }
-    assert!(slowest <= 2_000, "{slowest} ms with a fifth lost");
+    assert!(
+        slowest <= 2_000,
+        "{slowest} ms with a fifth of the datagrams lost"
+    );
 }
 
-/// Delivers a rumor as a node has sent it, however late.
-fn deliver_late(network: &mut Network, from: usize, to: usize, order: DrainOverride) {
+/// Delivers a ping of node `from` with a drain override, as if it had been delayed in the network.
+fn deliver_delayed(network: &mut Network, from: usize, to: usize, drain_override: DrainOverride) {
     let incarnation = network
         .process(from)
-        .map_or(1, |members| members.incarnation());
+        .map_or(1, |membership| membership.incarnation());
     let target = NodeId(to as u16);
     let head = Head {
         kind: MessageKind::Ping { hello: false },
@@ -85,49 +94,49 @@
         target,
     };
     let mut packet = Packet::new(quartzhub_membership::wire::VERSION, fleet(FLEET), &head);
-    assert!(packet.add(&Entry::DrainOverride(order)));
-    network.inject(from, to, packet.done());
+    assert!(packet.add(&Entry::DrainOverride(drain_override)));
+    network.inject(from, to, packet.finish());
 }
 
 #[test]
-fn a_late_older_version_undoes_nothing_unless_versions_are_disabled() {
-    let play = |limits: Limits| {
-        let mut network = settled(12, limits, 5);
-        let first = network
+fn delayed_older_version_has_no_effect_unless_versions_disabled() {
+    let count_drained = |limits: Limits| {
+        let mut network = converged_network(12, limits, 5);
+        let delayed = network
             .set_drain_override(3, CACHE, true)
-            .expect("an order");
+            .expect("the drain is issued");
         network.play(Span::ms(2_000));
         network
             .set_drain_override(7, CACHE, false)
-            .expect("a revocation");
+            .expect("the revocation is issued");
         network.play(Span::ms(2_000));
         for to in (0..12).filter(|to| *to != 3) {
-            deliver_late(&mut network, 3, to, first);
+            deliver_delayed(&mut network, 3, to, delayed);
         }
         network.play(Span::ms(500));
-        hold(&network, CACHE, true)
+        count_nodes_with(&network, CACHE, true)
     };
-    assert_eq!(play(Limits::default()), 0);
+    assert_eq!(count_drained(Limits::default()), 0);
     let disabled = DisabledFeatures {
         versions: true,
         ..DisabledFeatures::default()
     };
     assert!(
-        play(Limits {
+        count_drained(Limits {
             disabled,
             ..Limits::default()
         }) > 0,
-        "broken on purpose, and not seen"
+        "the outdated override had no effect although versions are disabled"
     );
 }
 
 #[test]
-fn a_restarted_node_learns_the_drain_overrides_and_issues_none_before() {
-    let mut network = settled(12, Limits::default(), 2);
+fn restarted_node_learns_overrides_before_it_may_issue_any() {
+    let mut network = converged_network(12, Limits::default(), 2);
     for server in 0..40 {
         network
             .set_drain_override(1, ServerId(server), true)
-            .expect("an order");
+            .expect("the drain is issued");
     }
     network.play(Span::ms(6_000));
     network.kill(4);
@@ -140,59 +149,59 @@
     assert_eq!(
         network
             .process(4)
-            .map(|members| members.drain_overrides().count()),
+            .map(|membership| membership.drain_overrides().count()),
         Some(40)
     );
     network
         .set_drain_override(4, ServerId(3), false)
-        .expect("a revocation");
-    assert!(until_all(&mut network, ServerId(3), false, 2_000).is_some());
+        .expect("the revocation is issued");
+    assert!(ms_until_all_have(&mut network, ServerId(3), false, 2_000).is_some());
 }
 
 #[test]
-fn both_sides_of_a_partition_agree_once_it_heals_and_the_drain_holds() {
-    let mut network = settled(12, Limits::default(), 9);
+fn drain_wins_on_both_sides_once_a_partition_heals() {
+    let mut network = converged_network(12, Limits::default(), 9);
     network
         .set_drain_override(0, CACHE, true)
-        .expect("an order");
+        .expect("the drain is issued");
     network.play(Span::ms(3_000));
     let (left, right): (Vec<_>, Vec<_>) = ((0..7).collect(), (7..12).collect());
     network.links.cut(&left, &right);
     network.links.cut(&right, &left);
     network
         .set_drain_override(1, CACHE, false)
-        .expect("a revocation on one side");
+        .expect("one side issues a revocation");
     network
         .set_drain_override(8, ServerId(77), true)
-        .expect("an order on the other");
+        .expect("the other side issues a drain");
     network.play(Span::ms(20_000));
     assert_eq!(
         (
-            hold(&network, CACHE, false),
-            hold(&network, ServerId(77), true)
+            count_nodes_with(&network, CACHE, false),
+            count_nodes_with(&network, ServerId(77), true)
         ),
         (7, 5)
     );
     network
         .set_drain_override(9, CACHE, false)
-        .expect("a revocation on the other side as well");
+        .expect("the other side issues a revocation as well");
     network
         .set_drain_override(9, CACHE, true)
-        .expect("and an order again");
+        .expect("the other side issues a drain again");
     network.links.cuts.clear();
     network.play(Span::ms(8_000));
     assert_eq!(
         (
-            hold(&network, CACHE, true),
-            hold(&network, ServerId(77), true)
+            count_nodes_with(&network, CACHE, true),
+            count_nodes_with(&network, ServerId(77), true)
         ),
         (12, 12)
     );
 }
 
 #[test]
-fn drain_overrides_are_bounded_and_a_drain_is_never_evicted() {
-    let mut network = settled(
+fn drain_overrides_are_bounded_and_drains_are_not_evicted() {
+    let mut network = converged_network(
         5,
         Limits {
             max_drain_overrides: 8,
@@ -203,7 +212,7 @@
     for server in 0..8 {
         network
             .set_drain_override(0, ServerId(server), true)
-            .expect("an order");
+            .expect("the drain is issued");
         network.play(Span::ms(300));
     }
     assert_eq!(
@@ -212,25 +221,25 @@
     );
     network
         .set_drain_override(0, ServerId(2), false)
-        .expect("a revocation");
+        .expect("the revocation is issued");
     network
         .set_drain_override(0, ServerId(8), true)
-        .expect("an order in its place");
+        .expect("a drain is issued in place of the revocation");
     network.play(Span::ms(4_000));
-    for at in 0..5 {
+    for node in 0..5 {
         assert_eq!(
             (
                 network
-                    .process(at)
-                    .map(|members| members.drain_overrides().count()),
-                drained(&network, at, ServerId(8))
+                    .process(node)
+                    .map(|membership| membership.drain_overrides().count()),
+                drain_value(&network, node, ServerId(8))
             ),
             (Some(8), Some(true))
         );
     }
     assert!(
-        network.links.longest <= 256,
+        network.links.max_datagram_bytes <= 256,
         "{} bytes",
-        network.links.longest
+        network.links.max_datagram_bytes
     );
 }
--- a/crates/membership/tests/joins_and_leaves.rs
+++ b/crates/membership/tests/joins_and_leaves.rs
@@ -5,12 +5,12 @@
 use quartzhub_membership::{Limits, MemberState};
 use quartzhub_policy::Span;
 
-use common::settled;
+use common::converged_network;
 
 #[test]
-fn a_node_restarted_within_a_second_raises_its_former_incarnation() {
-    let mut network = settled(12, Limits::default(), 3);
-    for life in 0..3 {
+fn node_restarted_within_a_second_raises_its_incarnation() {
+    let mut network = converged_network(12, Limits::default(), 3);
+    for earlier_restarts in 0..3 {
         network.kill(6);
         network.play(Span::ms(700));
         network.start(6);
@@ -21,19 +21,19 @@
         );
         let incarnation = network
             .process(6)
-            .map(|members| members.incarnation())
+            .map(|membership| membership.incarnation())
             .unwrap_or_default();
         assert!(
-            incarnation > life + 1,
-            "number {incarnation} in life {}",
-            life + 2
+            incarnation > earlier_restarts + 1,
+            "incarnation {incarnation} of process {}",
+            earlier_restarts + 2
         );
     }
 }
 
 #[test]
-fn a_planned_leave_is_announced_and_no_failure() {
-    let mut network = settled(12, Limits::default(), 4);
+fn planned_leave_is_announced_and_not_treated_as_a_failure() {
+    let mut network = converged_network(12, Limits::default(), 4);
     network.leave(7);
     network.play(Span::ms(3_000));
     for at in (0..12).filter(|at| *at != 7) {
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn half_as_many_again_join_at_once_then_a_third_leaves() {
+fn views_agree_after_a_mass_join_and_a_mass_leave() {
     let mut network = Network::new(48, Limits::default(), 5);
     (0..32).for_each(|node| network.start(node));
     network.play(Span::ms(8_000));
--- a/crates/membership/tests/recorded_datagrams.rs
+++ b/crates/membership/tests/recorded_datagrams.rs
@@ -1,6 +1,8 @@
-//! Datagrams of every kind, byte for byte as nodes of this protocol version send them: a fleet is updated node by node, so
-//! the encoding must not change without a new version.
-use quartzhub_membership::wire::{fleet, read, Entry, Head, MessageKind, Packet, VERSION};
+//! Recorded datagrams of every kind, byte for byte. A fleet is updated node by node, so the
+//! encoding must not change without a new protocol version.
+use quartzhub_membership::wire::{
+    decode_datagram, fleet, Entry, Head, MessageKind, Packet, VERSION,
+};
 use quartzhub_membership::{DrainOverride, Limits, Membership, NodeId, ServerId};
 use quartzhub_policy::Time;
 
@@ -26,18 +28,21 @@
     for entry in entries {
         assert!(packet.add(entry));
     }
-    packet.done()
+    packet.finish()
 }
 
 #[track_caller]
 fn assert_recorded(head: Head, entries: &[Entry], expected: &str) {
     let bytes = datagram(&head, entries);
     assert_eq!(hex(&bytes), expected);
-    assert_eq!(read(&bytes, fleet(FLEET)), Ok((head, entries.to_vec())));
+    assert_eq!(
+        decode_datagram(&bytes, fleet(FLEET)),
+        Ok((head, entries.to_vec()))
+    );
 }
 
 #[test]
-fn each_kind_of_message_is_encoded_as_recorded() {
+fn each_message_kind_is_encoded_as_recorded() {
     assert_recorded(
         head(MessageKind::Ping { hello: false }),
         &[],
@@ -66,7 +71,7 @@
 }
 
 #[test]
-fn each_kind_of_entry_is_encoded_as_recorded() {
+fn each_entry_kind_is_encoded_as_recorded() {
     let node = NodeId(2);
     let by = NodeId(1_000);
     let incarnation = 1 << 20;
@@ -125,49 +130,50 @@
 }
 
 #[test]
-fn a_server_is_named_by_the_recorded_hash() {
+fn server_id_is_the_recorded_hash() {
     assert_eq!(
         hex(&ServerId::named("10.0.0.1:9001").0.to_le_bytes()),
         "5613c33f8ffed510"
     );
 }
 
-/// Two nodes that find one another; the one issues a drain override, the other leaves.
+/// Two nodes discover each other, one issues a drain override, and the other leaves.
 #[test]
-fn two_nodes_send_these_datagrams() {
-    let mut one = Membership::new(NodeId(0), 3, fleet(FLEET), 7, Limits::default());
-    let mut other = Membership::new(NodeId(1), 3, fleet(FLEET), 8, Limits::default());
-    one.start(Time(0));
-    other.start(Time(0));
+fn two_nodes_send_the_recorded_datagrams() {
+    let mut issuer = Membership::new(NodeId(0), 3, fleet(FLEET), 7, Limits::default());
+    let mut leaver = Membership::new(NodeId(1), 3, fleet(FLEET), 8, Limits::default());
+    issuer.start(Time(0));
+    leaver.start(Time(0));
     let mut sent = Vec::new();
     let mut now = Time(0);
     for step in 0..60 {
-        now = one.due().min(other.due()).max(now);
-        let mut from_one = Vec::new();
-        let mut from_other = Vec::new();
-        one.tick(now, &mut from_one);
-        other.tick(now, &mut from_other);
+        now = issuer.due().min(leaver.due()).max(now);
+        let mut from_issuer = Vec::new();
+        let mut from_leaver = Vec::new();
+        issuer.tick(now, &mut from_issuer);
+        leaver.tick(now, &mut from_leaver);
         if step == 50 {
-            one.set_drain_override(now, ServerId(5), true, &mut from_one)
-                .expect("an override after some rounds");
+            issuer
+                .set_drain_override(now, ServerId(5), true, &mut from_issuer)
+                .expect("the join rounds are over");
         }
         if step == 59 {
-            other.leave(now, &mut from_other);
+            leaver.leave(now, &mut from_leaver);
         }
-        for datagram in &from_one {
-            other.receive(now, NodeId(0), &datagram.bytes, &mut from_other);
+        for datagram in &from_issuer {
+            leaver.receive(now, NodeId(0), &datagram.bytes, &mut from_leaver);
         }
-        for datagram in &from_other {
-            let mut replies = Vec::new();
-            one.receive(now, NodeId(1), &datagram.bytes, &mut replies);
-            sent.extend(replies);
+        for datagram in &from_leaver {
+            let mut responses = Vec::new();
+            issuer.receive(now, NodeId(1), &datagram.bytes, &mut responses);
+            sent.extend(responses);
         }
-        sent.extend(from_one);
-        sent.extend(from_other);
+        sent.extend(from_issuer);
+        sent.extend(from_leaver);
     }
     let all: String = sent.iter().map(|datagram| hex(&datagram.bytes)).collect();
     assert_eq!(sent.len(), 332);
-    // A fleet's name is sent as its CRC32.
+    // `fleet` returns the CRC32 of a text.
     let checksum_of_all = fleet(&all);
     assert_eq!(format!("{checksum_of_all:08x}"), "edc92654");
     let last = sent.last().map(|datagram| hex(&datagram.bytes));
