--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! The state machine: its timer, and the datagrams that it sends and takes in.
+//! The coordination state machine: its timer, and the datagrams that it sends and receives.
 use quartzhub_membership::endpoint::{EndpointConfig, Received};
 use quartzhub_membership::{Datagram, DatagramEndpoint, NodeId, TrafficCounters};
 use quartzhub_policy::{NodeLoad, Pcg, Time};
@@ -8,7 +8,7 @@
 use crate::wire::{self, Entry, Head};
 use crate::Limits;
 
-/// One node's load reports and leases.
+/// The load reports and leases of one node.
 pub struct Coordinator {
     me: NodeId,
     limits: Limits,
@@ -20,10 +20,12 @@
 }
 
 impl Coordinator {
-    /// `nodes`: how many are configured, this one among them.
+    /// Creates the state machine of node `me`. `nodes` is the number of configured nodes, including
+    /// this one.
     pub fn new(me: NodeId, nodes: usize, fleet: u32, seed: u64, limits: Limits) -> Coordinator {
         let mut rng = Pcg::new(seed);
-        // Guards against a late grant to a process before this one that would count for a round of this one.
+        // A random first round: a delayed grant to an earlier process of this node must not match a
+        // round of this process.
         let first_round = (rng.unit() * f64::from(u32::MAX)) as u32;
         let endpoint = DatagramEndpoint::new(EndpointConfig {
             version: wire::VERSION,
@@ -44,44 +46,47 @@
         }
     }
 
-    /// Starts the timer.
+    /// Starts the timer. The first report is sent after a random delay, so that nodes started at
+    /// the same time do not report in lockstep.
     pub fn start(&mut self, now: Time) {
         self.leases.start(now);
-        // Guards against a fleet that started at once and reports in step.
         self.next_report = now + self.limits.report_interval.times(self.rng.unit());
     }
 
-    /// Sets this node's own load as of now.
+    /// Sets this node's own current load.
     pub fn set_own_load(&mut self, load: NodeLoad) {
         self.reports.set_own_load(load);
     }
 
-    /// Sets how many other nodes' shares this node would use beside its own.
+    /// Sets how many shares of other nodes this node wants to use in addition to its own.
     pub fn request_leases(&mut self, shares: usize) {
         self.leases.request_leases(shares);
     }
 
-    /// What the fleet's reports come to; none where too few are recent.
+    /// Returns the fleet's load according to the reports of other nodes; none if too few are
+    /// recent.
     pub fn fleet_load(&self, now: Time) -> Option<FleetLoad> {
         self.reports.fleet_load(now)
     }
 
-    /// The share of each budget that this node may use now. It shrinks by itself: read it whenever it is used.
+    /// Returns the share of each budget that this node may use now. It shrinks when leases expire,
+    /// so it has to be read before every use.
     pub fn budget_share(&self, now: Time) -> f64 {
         self.leases.budget_share(now)
     }
 
-    /// What was sent, received and dropped.
+    /// Returns the counters of datagrams sent, received and dropped.
     pub fn traffic(&self) -> TrafficCounters {
         self.endpoint.traffic()
     }
 
-    /// When `tick` has to be called.
+    /// Returns the time at which `tick` has to be called next.
     pub fn due(&self) -> Time {
         self.next_report.min(self.leases.due())
     }
 
-    /// Does what is due. `incarnation`: this node's, by the membership; `others`: the other members.
+    /// Performs all actions that are due. `incarnation` is this node's incarnation in the
+    /// membership, and `others` are the other members.
     pub fn tick(
         &mut self,
         now: Time,
@@ -102,7 +107,7 @@
         }
     }
 
-    /// Sends as many reports as fit.
+    /// Sends a datagram with as many reports as fit.
     fn send_reports(
         &mut self,
         now: Time,
@@ -130,22 +135,22 @@
         }
     }
 
-    /// Takes in a datagram that came from the address of `from`.
+    /// Handles a datagram received from the address of node `from`.
     pub fn receive(&mut self, now: Time, from: NodeId, bytes: &[u8], out: &mut Vec<Datagram>) {
         let received = self.endpoint.receive::<Head, Entry>(now, from, bytes);
         let Some(Received { head, entries }) = received else {
             return;
         };
-        let mut replies = Vec::new();
+        let mut grants = Vec::new();
         for entry in entries {
             match entry {
                 Entry::LoadReport(report) => self.reports.on_report(now, report),
-                Entry::LeaseRequest(key) => replies.extend(self.leases.on_request(now, from, key)),
+                Entry::LeaseRequest(key) => grants.extend(self.leases.on_request(now, from, key)),
                 Entry::LeaseGrant(key) => self.leases.on_grant(from, key),
                 Entry::LeaseRelease(key) => self.leases.on_release(now, from, key),
             }
         }
-        self.send_lease_messages(replies, out);
+        self.send_lease_messages(grants, out);
         if head.wants_reports {
             self.send_reports(now, from, false, out);
         }
--- a/crates/coordination/src/leases/lease_grantor.rs
+++ b/crates/coordination/src/leases/lease_grantor.rs
@@ -1,5 +1,5 @@
-//! Remembers what this node has granted as one of a share's quorum group: a share has one holder until its lease has expired
-//! for certain.
+//! Records the leases that this node has granted as a member of quorum groups. A share has one
+//! holder until its lease has certainly expired.
 use std::collections::BTreeMap;
 
 use quartzhub_membership::NodeId;
@@ -14,23 +14,24 @@
     holder: NodeId,
     round: u32,
     expires: Time,
-    /// Until then only the owner of the share gets a new lease.
+    /// Until this time, only the owner of the share gets a new lease.
     owner_priority_until: Time,
 }
 
-/// Grants leases on the shares whose quorum groups this node is in.
+/// Grants leases on the shares whose quorum groups include this node.
 #[derive(Debug)]
 pub struct LeaseGrantor {
     me: NodeId,
     nodes: usize,
     quorum_group_size: usize,
-    /// Longer than any holder's lease lasts, by whatever clock.
+    /// Time after which a granted lease has expired by any holder's clock.
     grant_duration: Span,
     owner_priority: Span,
-    /// By the owner of the share.
+    /// The last grant of each share, by the share's owner.
     grants: BTreeMap<NodeId, Grant>,
-    /// Nothing is granted before: grants of a former process may still hold.
-    silent_until: Time,
+    /// No lease is granted before this time, because grants of an earlier process of this node may
+    /// still be valid.
+    no_grants_until: Time,
 }
 
 impl LeaseGrantor {
@@ -44,17 +45,17 @@
             grant_duration: limits.lease_duration.times(clock_ratio) + limits.max_pause,
             owner_priority: limits.owner_priority,
             grants: BTreeMap::new(),
-            silent_until: Time(0),
+            no_grants_until: Time(0),
         }
     }
 
     pub fn start(&mut self, now: Time) {
-        self.silent_until = now + self.grant_duration;
+        self.no_grants_until = now + self.grant_duration;
     }
 
-    /// A node requests a lease; true if it is granted.
+    /// Handles a request for a lease; returns whether it is granted.
     pub fn on_request(&mut self, now: Time, from: NodeId, key: LeaseKey) -> bool {
-        if now < self.silent_until || !self.decides_on(key.owner) {
+        if now < self.no_grants_until || !self.decides_on(key.owner) {
             return false;
         }
         let is_owner = from == key.owner;
@@ -68,8 +69,8 @@
             grant.owner_priority_until = now + self.owner_priority;
         }
         let is_free = grant.holder == from || now >= grant.expires;
-        let may_hold = is_owner || now >= grant.owner_priority_until;
-        if !is_free || !may_hold {
+        let has_priority = is_owner || now >= grant.owner_priority_until;
+        if !is_free || !has_priority {
             return false;
         }
         grant.holder = from;
@@ -78,7 +79,8 @@
         true
     }
 
-    /// A holder gives its lease back. Guards against an older message that arrives late: only the round granted last counts.
+    /// Handles the release of a lease. Only a release of the round granted last counts, so that an
+    /// older message that arrives late does not end a newer lease.
     pub fn on_release(&mut self, now: Time, from: NodeId, key: LeaseKey) {
         if let Some(grant) = self.grants.get_mut(&key.owner) {
             if grant.holder == from && grant.round == key.round {
--- a/crates/coordination/src/leases/lease_holder.rs
+++ b/crates/coordination/src/leases/lease_holder.rs
@@ -1,5 +1,5 @@
-//! Holds leases: requests them from their quorum groups again and again, and counts one as valid only for a time from its
-//! request on.
+//! Holds leases: requests them from their quorum groups at regular intervals. A granted lease is
+//! valid for a fixed time, counted from its request.
 use quartzhub_membership::NodeId;
 use quartzhub_policy::{Pcg, Span, Time};
 
@@ -7,14 +7,15 @@
 use super::quorum_group::{is_majority, quorum_group};
 use crate::Limits;
 
-/// Most rounds of backoff after a lease that was not granted: several nodes that request the same share at once divide its
-/// quorum group between them, and one of them alone would have got it.
+/// Maximum rounds of backoff after a lease was not granted. Several nodes that request the same
+/// share at once split the votes of its quorum group, so that none of them gets a majority; with
+/// different backoffs, one of them does.
 const MAX_BACKOFF_ROUNDS: f64 = 8.0;
 
-/// Renewals come at a random time from this part of the interval on.
+/// Minimum time between renewals, as a fraction of the renewal interval.
 const MIN_RENEWAL_JITTER: f64 = 0.9;
 
-/// Range of the random part of the renewal interval.
+/// Range of the random part of the time between renewals, as a fraction of the renewal interval.
 const RENEWAL_JITTER_RANGE: f64 = 0.2;
 
 /// A lease on a share, requested or granted.
@@ -26,9 +27,9 @@
     requested: Time,
     /// The round of that request.
     round: u32,
-    /// Who has granted that request.
+    /// Nodes that have granted that request.
     granted_by: Vec<NodeId>,
-    /// By this node's clock.
+    /// When the lease expires, by this node's clock; none if it was never granted.
     expires: Option<Time>,
 }
 
@@ -44,7 +45,7 @@
         }
     }
 
-    /// A message to each node of the quorum group.
+    /// Returns a message to each node of the quorum group.
     fn to_quorum_group(&self, action: LeaseAction) -> impl Iterator<Item = LeaseMessage> + '_ {
         self.quorum_group
             .iter()
@@ -52,7 +53,7 @@
     }
 }
 
-/// The leases that this node holds or requests, that on its own share first.
+/// The leases that this node holds or requests, starting with the one on its own share.
 #[derive(Debug)]
 pub struct LeaseHolder {
     me: NodeId,
@@ -62,11 +63,11 @@
     renewal_interval: Span,
     max_borrowed_shares: usize,
     leases: Vec<Lease>,
-    /// Other nodes' shares that this node would use.
-    wanted: usize,
+    /// Number of other nodes' shares that this node wants to use.
+    wanted_shares: usize,
     round: u32,
     next_renewal: Time,
-    /// Rounds until another share is requested.
+    /// Rounds until this node may request another share.
     backoff_rounds: u32,
 }
 
@@ -80,7 +81,7 @@
             renewal_interval: limits.renewal_interval,
             max_borrowed_shares: limits.max_borrowed_shares,
             leases: Vec::new(),
-            wanted: 0,
+            wanted_shares: 0,
             round: first_round,
             next_renewal: Time(0),
             backoff_rounds: 0,
@@ -104,16 +105,17 @@
         self.next_renewal = now;
     }
 
-    /// Sets how many other nodes' shares this node would use beside its own.
+    /// Sets how many shares of other nodes this node wants to use in addition to its own.
     pub fn request_leases(&mut self, shares: usize) {
-        self.wanted = shares.min(self.max_borrowed_shares);
+        self.wanted_shares = shares.min(self.max_borrowed_shares);
     }
 
     pub fn due(&self) -> Time {
         self.next_renewal
     }
 
-    /// Requests each lease that it has or wants: on its own share, and on those of nodes that are no members.
+    /// Releases leases that are no longer needed, and requests those held or wanted: on this node's
+    /// own share, and on shares of nodes that are not members.
     pub fn tick(&mut self, now: Time, others: &[NodeId], rng: &mut Pcg) -> Vec<LeaseMessage> {
         if now < self.next_renewal {
             return Vec::new();
@@ -130,10 +132,11 @@
     }
 
     fn max_leases(&self) -> usize {
-        1 + self.wanted
+        1 + self.wanted_shares
     }
 
-    /// Gives up leases that were not granted, whose owner is back, or that are not wanted any more.
+    /// Releases leases that were not granted, whose owner is a member again, or that are no longer
+    /// wanted.
     fn release_leases(&mut self, now: Time, others: &[NodeId], rng: &mut Pcg) -> Vec<LeaseMessage> {
         let mut releases = Vec::new();
         let mut kept = Vec::new();
@@ -153,7 +156,7 @@
         releases
     }
 
-    /// Adds a share, chosen at random, of a node that is no member.
+    /// Adds a lease on a randomly chosen share of a node that is not a member.
     fn add_free_share(&mut self, others: &[NodeId], rng: &mut Pcg) {
         let is_free = |id: &NodeId| {
             *id != self.me
@@ -180,7 +183,8 @@
         requests
     }
 
-    /// A node grants a lease. It is valid from its request on, which was before any node granted it.
+    /// Handles a grant of a lease. The lease is valid from its request on, which precedes every
+    /// grant.
     pub fn on_grant(&mut self, from: NodeId, key: LeaseKey) {
         let requested = self.leases.iter_mut().find(|lease| lease.key() == key);
         let Some(lease) = requested else {
@@ -194,7 +198,7 @@
         }
     }
 
-    /// How many leases are valid now.
+    /// Returns the number of leases that are valid now.
     pub fn valid_leases(&self, now: Time) -> usize {
         self.leases
             .iter()
--- a/crates/coordination/src/leases/message.rs
+++ b/crates/coordination/src/leases/message.rs
@@ -1,32 +1,33 @@
-//! The messages about leases.
+//! Messages about leases.
 use quartzhub_membership::NodeId;
 use serde::{Deserialize, Serialize};
 
-/// A lease as request, grant and release name it. On the wire: the order of its fields must not change.
+/// Identifies a lease in requests, grants and releases. It is sent with postcard: the order of its
+/// fields must not change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseKey {
     /// The node whose share is leased.
     pub owner: NodeId,
-    /// The round in which its holder requested it.
+    /// The round in which the holder requested it.
     pub round: u32,
 }
 
-/// What a message says about a lease.
+/// The action of a lease message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// Requests it.
+    /// Requests the lease.
     Request(LeaseKey),
-    /// Grants it.
+    /// Grants the lease.
     Grant(LeaseKey),
-    /// Gives it back.
+    /// Releases the lease.
     Release(LeaseKey),
 }
 
-/// A message to a node.
+/// A lease message to a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseMessage {
-    /// The receiver.
+    /// The receiving node.
     pub to: NodeId,
-    /// What it says.
+    /// The action and the lease.
     pub action: LeaseAction,
 }
--- a/crates/coordination/src/leases/mod.rs
+++ b/crates/coordination/src/leases/mod.rs
@@ -1,6 +1,7 @@
-//! Leases on shares of a budget. Every configured node owns one share; who may use it is decided by a majority of the share's
-//! own quorum group, so that over all nodes that still send, on both sides of any partition, the shares add up to one at
-//! most, at every moment. A fraction of each budget is reserved, divided evenly, and needs no lease.
+//! Leases on shares of a budget. Every configured node owns one share. A majority of the share's
+//! quorum group decides which node may use it. The shares of all nodes that still send, on both
+//! sides of any partition, therefore never add up to more than one at any moment. A fraction of
+//! each budget is reserved: it is divided evenly among all nodes and needs no lease.
 mod lease_grantor;
 mod lease_holder;
 mod message;
@@ -26,7 +27,8 @@
 }
 
 impl Leases {
-    /// A node's leases; `first_round`: a number that its former processes have not used of late.
+    /// Creates the leases of node `me`. `first_round` is a number that earlier processes of this
+    /// node have not used recently.
     pub fn new(me: NodeId, nodes: usize, first_round: u32, limits: &Limits) -> Leases {
         Leases {
             me,
@@ -43,31 +45,31 @@
         self.grantor.start(now);
     }
 
-    /// Sets how many other nodes' shares this node would use beside its own.
+    /// Sets how many shares of other nodes this node wants to use in addition to its own.
     pub fn request_leases(&mut self, shares: usize) {
         self.holder.request_leases(shares);
     }
 
-    /// When `tick` has to be called.
+    /// Returns the time at which `tick` has to be called next.
     pub fn due(&self) -> Time {
         self.holder.due()
     }
 
-    /// Requests and releases that are due. `others`: the other members.
+    /// Returns the requests and releases that are due. `others` are the other members.
     pub fn tick(&mut self, now: Time, others: &[NodeId], rng: &mut Pcg) -> Vec<LeaseMessage> {
         let mut messages = self.holder.tick(now, others, rng);
         messages.retain(|message| {
             let is_local = message.to == self.me;
             if is_local {
-                self.act_locally(now, message.action);
+                self.handle_locally(now, message.action);
             }
             !is_local
         });
         messages
     }
 
-    /// A message of this node to itself, as one of a share's quorum group.
-    fn act_locally(&mut self, now: Time, action: LeaseAction) {
+    /// Handles a message of this node to itself, as a member of a share's quorum group.
+    fn handle_locally(&mut self, now: Time, action: LeaseAction) {
         match action {
             LeaseAction::Request(key) => {
                 if self.grantor.on_request(now, self.me, key) {
@@ -79,7 +81,7 @@
         }
     }
 
-    /// A node requests a lease; the grant, if it gets it.
+    /// Handles a node's request for a lease; returns the grant, if there is one.
     pub fn on_request(&mut self, now: Time, from: NodeId, key: LeaseKey) -> Option<LeaseMessage> {
         let is_granted = self.grantor.on_request(now, from, key);
         is_granted.then_some(LeaseMessage {
@@ -88,17 +90,17 @@
         })
     }
 
-    /// A node grants this one a lease.
+    /// Handles a node's grant of a lease to this node.
     pub fn on_grant(&mut self, from: NodeId, key: LeaseKey) {
         self.holder.on_grant(from, key);
     }
 
-    /// A node gives a lease back.
+    /// Handles a node's release of a lease.
     pub fn on_release(&mut self, now: Time, from: NodeId, key: LeaseKey) {
         self.grantor.on_release(now, from, key);
     }
 
-    /// The share of the budget that this node may use now.
+    /// Returns the share of each budget that this node may use now.
     pub fn budget_share(&self, now: Time) -> f64 {
         let leased_shares = self.holder.valid_leases(now) as f64;
         let leased = (1.0 - self.reserved_fraction) * leased_shares;
--- a/crates/coordination/src/leases/quorum_group.rs
+++ b/crates/coordination/src/leases/quorum_group.rs
@@ -1,16 +1,17 @@
-//! Which nodes decide on a lease: a few of those that are configured, the same at every node without a vote (rendezvous
-//! hashing).
+//! Selects the nodes that decide on a lease: a fixed subset of the configured nodes, which every
+//! node computes alike (rendezvous hashing).
 use quartzhub_membership::NodeId;
 
-/// Mixes 64 bits: each bit of the result depends on all of the input (the finalizer of MurmurHash3).
+/// Mixes 64 bits: each bit of the result depends on all of the input (the finalizer of
+/// MurmurHash3).
 fn mix(input: u64) -> u64 {
     let hash = (input ^ (input >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     let hash = (hash ^ (hash >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
     hash ^ (hash >> 33)
 }
 
-/// The nodes that decide on a lease of the owner's share, of all that are configured, alive or not: it never changes, so two
-/// majorities of it always have a node in common.
+/// Returns the nodes that decide on leases of the owner's share, chosen from all configured nodes,
+/// alive or not. The group never changes, so any two majorities of it have a node in common.
 ///
 /// ```
 /// use quartzhub_coordination::leases::quorum_group;
@@ -29,7 +30,7 @@
     group.into_iter().map(NodeId).collect()
 }
 
-/// Whether so many grants are a majority of a quorum group.
+/// Returns whether this number of grants is a majority of a quorum group.
 pub fn is_majority(grants: usize, group_size: usize) -> bool {
     grants * 2 > group_size
 }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,6 +1,7 @@
-//! What a fleet's nodes coordinate beside who is alive: reports of each node's load, and leases on shares of budgets. A state
-//! machine without sockets and clock, on top of the membership; the same code runs in the node, in the emulator and under
-//! tests. `docs/coordination.md` states the guarantees and the alternatives that were considered.
+//! Coordination of a fleet's nodes on top of the membership: reports of each node's load, and
+//! leases on shares of budgets. A state machine without sockets or a clock; the node, the emulator
+//! and the tests all run this code. `docs/coordination.md` states the guarantees and the
+//! alternatives that were considered.
 #![deny(missing_docs)]
 
 mod coordinator;
--- a/crates/coordination/src/limits.rs
+++ b/crates/coordination/src/limits.rs
@@ -1,41 +1,46 @@
-//! Parameters of load reports and leases, each with its unit.
+//! Parameters of load reports and leases, with their units and defaults.
 use quartzhub_policy::Span;
 
 /// Parameters of load reports and leases.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// Time from one datagram of reports to the next. Each is answered with reports, so that no node is left out by chance:
-    /// four or five a second and node, whatever the fleet's size.
+    /// Interval between datagrams of reports. The receiver of each one responds with its own
+    /// reports, so that random selection leaves no node without reports. In all, a node sends four
+    /// or five datagrams of reports per second, whatever the size of the fleet.
     pub report_interval: Span,
-    /// Time in which a report's weight halves: load changes within seconds.
+    /// Time in which the weight of a report halves. Load changes within seconds.
     pub report_half_life: Span,
-    /// Age at which a report is dropped.
+    /// Age above which a report is ignored.
     pub max_report_age: Span,
-    /// Nodes whose reports are needed before they count: fewer could be one faulty node and its neighbor.
+    /// Minimum number of reporting nodes for the fleet's load to be known. Fewer could be one
+    /// faulty node and its neighbor.
     pub min_reporting_nodes: usize,
-    /// Most that one node's report counts for, in medians of all.
+    /// Upper bound of one node's report, as a multiple of the median of all reports.
     pub max_report_medians: f64,
     /// Transmissions of a report by each node that has received it.
     pub max_report_transmissions: u32,
-    /// Part of every budget, from 0 to 1, that is divided evenly among the configured nodes and needs no lease.
+    /// Fraction of every budget, from 0 to 1, that is divided evenly among the configured nodes and
+    /// needs no lease.
     pub reserved_fraction: f64,
-    /// Nodes of which a majority grants a lease: with five, two may have failed.
+    /// Number of nodes of which a majority has to grant a lease. With five, two may have failed.
     pub quorum_group_size: usize,
-    /// Time for which a lease is valid for its holder, from its request on.
+    /// Time for which a lease is valid for its holder, counted from its request.
     pub lease_duration: Span,
-    /// Time from one request of a lease to the next.
+    /// Interval between requests of a lease.
     pub renewal_interval: Span,
-    /// Greatest difference of a clock's rate from the exact one, as a part of it.
+    /// Maximum deviation of a clock's rate from the exact rate, as a fraction of it.
     pub max_clock_drift: f64,
-    /// Longest stall of a process between a look at its clock and the write that goes by it.
+    /// Maximum stall of a process between reading its clock and writing the attempt that this
+    /// reading allows.
     pub max_pause: Span,
-    /// Time after its request in which the owner of a share is preferred to other holders.
+    /// Time after a request by a share's owner during which no other node gets a new lease on the
+    /// share.
     pub owner_priority: Span,
-    /// Most shares of other nodes that a node leases.
+    /// Maximum number of other nodes' shares that a node leases.
     pub max_borrowed_shares: usize,
-    /// Datagrams a second accepted from one sender.
+    /// Sustained rate of datagrams accepted from one sender, per second.
     pub datagrams_per_second: f64,
-    /// Datagrams accepted from one sender at once.
+    /// Burst of datagrams accepted from one sender above that rate.
     pub datagram_burst: f64,
 }
 
--- a/crates/coordination/src/load_reports/bounded_sum.rs
+++ b/crates/coordination/src/load_reports/bounded_sum.rs
@@ -1,14 +1,14 @@
-//! Sums of reported loads in which no node counts for more than a multiple of the median.
+//! Sums of reported loads, in which each node's value is limited to a multiple of the median.
 #[cfg(test)]
 mod tests;
 
 /// One node's reported load.
 #[derive(Debug, Clone, Copy)]
 pub struct WeightedLoad {
-    /// From 0 to 1, by the age of the report.
+    /// Weight of the report, from 0 to 1, which falls with its age.
     pub weight: f64,
     pub attempts_in_flight: f64,
-    pub answers_per_second: f64,
+    pub responses_per_second: f64,
 }
 
 fn median(mut values: Vec<f64>) -> f64 {
@@ -16,8 +16,9 @@
     *values.select_nth_unstable_by(middle, f64::total_cmp).1
 }
 
-/// The cut of one quantity: some medians of what is above zero; none where most report zero.
-fn cut(
+/// Returns the upper bound of one quantity: `max_medians` times the median of the positive values;
+/// none if at most half of the nodes report a positive value.
+fn upper_bound(
     loads: &[WeightedLoad],
     max_medians: f64,
     quantity: fn(&WeightedLoad) -> f64,
@@ -26,18 +27,19 @@
     (positive.len() * 2 > loads.len()).then(|| max_medians * median(positive))
 }
 
-/// Attempts in flight over answers a second: the time that an attempt takes, in seconds. Of `n` nodes one moves either sum by
-/// at most `max_medians` medians in `n`, whatever it reports; a node that reports no answers counts only by its attempts.
+/// Returns the mean duration of an attempt in seconds: attempts in flight divided by responses per
+/// second. Whatever it reports, one node of `n` moves either sum by at most `max_medians` medians
+/// in `n`. A node that reports no responses adds only its attempts.
 pub fn attempt_time(loads: &[WeightedLoad], max_medians: f64) -> Option<f64> {
-    let max_in_flight = cut(loads, max_medians, |load| load.attempts_in_flight)?;
-    let max_answers = cut(loads, max_medians, |load| load.answers_per_second)?;
+    let max_in_flight = upper_bound(loads, max_medians, |load| load.attempts_in_flight)?;
+    let max_responses = upper_bound(loads, max_medians, |load| load.responses_per_second)?;
     let in_flight: f64 = loads
         .iter()
         .map(|load| load.weight * load.attempts_in_flight.min(max_in_flight))
         .sum();
-    let answers: f64 = loads
+    let responses: f64 = loads
         .iter()
-        .map(|load| load.weight * load.answers_per_second.min(max_answers))
+        .map(|load| load.weight * load.responses_per_second.min(max_responses))
         .sum();
-    (answers > 0.0).then(|| in_flight / answers)
+    (responses > 0.0).then(|| in_flight / responses)
 }
--- a/crates/coordination/src/load_reports/mod.rs
+++ b/crates/coordination/src/load_reports/mod.rs
@@ -1,5 +1,5 @@
-//! Load reports: each node's own load, as it reports it. The newest of a node counts, its weight halves with its age, and no
-//! node moves the sum by more than a bound.
+//! Load reports: the load of each node, as reported by the node itself. Only the newest report of a
+//! node counts, its weight halves with its age, and no node moves the sum by more than a bound.
 mod bounded_sum;
 
 use quartzhub_membership::NodeId;
@@ -9,33 +9,33 @@
 use crate::Limits;
 use bounded_sum::{attempt_time, WeightedLoad};
 
-/// Greatest value of a report, in hundredths: a million answers a second.
+/// Maximum value of a report, in hundredths: a million responses per second.
 const MAX_REPORTED_HUNDREDTHS: u32 = 100_000_000;
 
-/// What the reports of the fleet come to.
+/// The fleet's load, computed from the reports of its nodes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FleetLoad {
-    /// Nodes whose reports count.
+    /// Number of nodes whose reports count.
     pub reporting_nodes: usize,
-    /// Time that an attempt at a cache takes, in seconds, by Little's law.
+    /// Mean duration of an attempt at a cache, in seconds, by Little's law.
     pub attempt_seconds: f64,
 }
 
-/// A report as nodes pass it on. No clocks are compared: it carries its age. On the wire: the order of its fields must not
-/// change.
+/// A report as nodes pass it on. It carries its age, so that clocks of different nodes are never
+/// compared. It is sent with postcard: the order of its fields must not change.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// The node whose load it is.
+    /// The node whose load is reported.
     pub node: NodeId,
     /// The node's incarnation.
     pub incarnation: u32,
-    /// Grows with each report of an incarnation.
+    /// Sequence number, which grows with each report of an incarnation.
     pub sequence: u32,
-    /// Time since the node made it, in milliseconds.
+    /// Time since the node created the report, in milliseconds.
     pub age_ms: u16,
-    /// Attempts in flight, in hundredths.
+    /// Mean number of attempts in flight, in hundredths.
     pub in_flight_hundredths: u32,
-    /// Answers a second, in hundredths.
+    /// Responses per second, in hundredths.
     pub answers_hundredths: u32,
 }
 
@@ -49,19 +49,19 @@
 #[derive(Debug, Clone, Copy)]
 struct KnownReport {
     report: LoadReport,
-    /// When its node made it, by this node's clock.
+    /// When its node created it, by this node's clock.
     made: Time,
     transmissions: u32,
 }
 
-/// The newest report of each node.
+/// The newest known report of each node.
 #[derive(Debug)]
 pub struct LoadReports {
     me: NodeId,
-    /// By node.
+    /// Indexed by node.
     known: Vec<Option<KnownReport>>,
     own_load: NodeLoad,
-    /// The sequence of this node's last report.
+    /// The sequence number of this node's last report.
     sequence: u32,
     half_life: Span,
     max_age: Span,
@@ -71,7 +71,7 @@
 }
 
 impl LoadReports {
-    /// No reports yet, for so many configured nodes.
+    /// Creates an empty set of reports for `nodes` configured nodes.
     pub fn new(me: NodeId, nodes: usize, limits: &Limits) -> LoadReports {
         LoadReports {
             me,
@@ -86,12 +86,12 @@
         }
     }
 
-    /// Sets this node's own load as of now.
+    /// Sets this node's own current load.
     pub fn set_own_load(&mut self, load: NodeLoad) {
         self.own_load = load;
     }
 
-    /// Makes a new report of this node's own load.
+    /// Creates a new report of this node's own load.
     pub fn record_own(&mut self, now: Time, incarnation: u32) {
         self.sequence = self.sequence.wrapping_add(1);
         let report = LoadReport {
@@ -109,7 +109,8 @@
         });
     }
 
-    /// Takes a report over if it is newer than the known one of its node. Nobody else knows this node's own load.
+    /// Stores a report if it is newer than the known one of its node. Reports about this node are
+    /// ignored, since no other node knows its load.
     pub fn on_report(&mut self, now: Time, report: LoadReport) {
         if report.node == self.me || !report.is_plausible() {
             return;
@@ -122,11 +123,12 @@
         let Some(known) = self.known.get_mut(report.node.index()) else {
             return;
         };
-        // Guards against an incarnation or sequence raised beyond belief that would silence its node for ever: what is too
-        // old gives way to any report.
-        let is_newer = known.as_ref().is_none_or(|old| {
-            (report.incarnation, report.sequence) > (old.report.incarnation, old.report.sequence)
-                || now - old.made > max_age
+        // A report that is too old gives way to any other. Without this, a wrongly high incarnation
+        // or sequence number would suppress all further reports of its node.
+        let is_newer = known.as_ref().is_none_or(|stored| {
+            (report.incarnation, report.sequence)
+                > (stored.report.incarnation, stored.report.sequence)
+                || now - stored.made > max_age
         });
         if is_newer {
             *known = Some(KnownReport {
@@ -137,7 +139,8 @@
         }
     }
 
-    /// Hands over reports while `add` has room for them: this node's own first, then the least transmitted, then the youngest.
+    /// Passes reports to `add` while they fit: this node's own first, then the least transmitted,
+    /// then the newest.
     pub fn piggyback(&mut self, now: Time, mut add: impl FnMut(LoadReport) -> bool) {
         let me = self.me;
         let max_age = self.max_age;
@@ -168,8 +171,9 @@
         }
     }
 
-    /// What others' reports come to, where there are enough. Guards against a faulty node, one that was stalled and one wrong
-    /// clock: each report is cut at a multiple of the median.
+    /// Returns the fleet's load according to the reports of other nodes; none if too few are
+    /// recent. Each report is limited to a multiple of the median, so that a faulty node, a stalled
+    /// one or a wrong clock cannot distort the result.
     pub fn fleet_load(&self, now: Time) -> Option<FleetLoad> {
         let recent: Vec<WeightedLoad> = self
             .known
@@ -193,7 +197,7 @@
         WeightedLoad {
             weight: 0.5f64.powf(age / self.half_life.seconds()),
             attempts_in_flight: f64::from(known.report.in_flight_hundredths) / 100.0,
-            answers_per_second: f64::from(known.report.answers_hundredths) / 100.0,
+            responses_per_second: f64::from(known.report.answers_hundredths) / 100.0,
         }
     }
 }
--- a/crates/coordination/src/sim.rs
+++ b/crates/coordination/src/sim.rs
@@ -1,4 +1,5 @@
-//! Coordinators in an emulated network, for tests and experiments; the same run from the same seed.
+//! Coordinators in an emulated network, for tests and experiments. The same seed gives the same
+//! run.
 use std::collections::BTreeSet;
 
 use quartzhub_membership::sim::{EmulatedNetwork, EmulatedProcess, Launch, NetworkConfig};
@@ -7,29 +8,29 @@
 
 use crate::{Coordinator, Limits};
 
-/// The emulated fleet as it stands in each datagram.
+/// The fleet hash in the datagrams of the emulated fleet.
 const FLEET: u32 = 7;
 
-/// Latest beginning of a node's clock, in microseconds.
+/// Maximum start value of a node's clock, in microseconds.
 const MAX_CLOCK_OFFSET_US: f64 = 4e9;
 
-/// Least delay of a datagram.
+/// Minimum delay of a datagram.
 const DELAY: Span = Span::ms(1);
 
-/// Greatest additional delay of a datagram.
+/// Maximum additional delay of a datagram.
 const JITTER: Span = Span::ms(2);
 
-/// Least time between two ticks of a node.
+/// Minimum time between two ticks of a node.
 const MIN_TICK_INTERVAL: Span = Span::ms(5);
 
-/// What the processes of an emulated network are configured with.
+/// Settings of the processes of an emulated network.
 pub struct Settings {
     limits: Limits,
-    /// By node: the other nodes that it takes for members, right or wrong.
+    /// For each node, the other nodes that it considers members, correctly or not.
     views: Vec<Vec<NodeId>>,
 }
 
-/// A node's process.
+/// A node's process: its coordinator, and what the membership would supply.
 pub struct CoordinatorProcess {
     coordinator: Coordinator,
     incarnation: u32,
@@ -69,30 +70,32 @@
     }
 }
 
-/// A node's coordinator, and the time by the node's clock.
+/// A node's coordinator, and the current time by the node's clock.
 #[derive(Clone, Copy)]
 pub struct Observed<'a> {
     /// The coordinator.
     pub coordinator: &'a Coordinator,
-    /// The time by the node's clock.
+    /// The current time by the node's clock.
     pub now: Time,
 }
 
 impl Observed<'_> {
-    /// The share of each budget that the node may use now.
+    /// Returns the share of each budget that the node may use now.
     pub fn budget_share(&self) -> f64 {
         self.coordinator.budget_share(self.now)
     }
 }
 
-/// Nodes with a coordinator each, whose clocks differ.
+/// Nodes with one coordinator each, whose clocks differ.
 pub struct Network {
-    /// The nodes, their processes and links. What comes to a process that is paused is lost: the worst for it.
+    /// The nodes, their processes and links. Datagrams to a paused process are lost, which is the
+    /// worst case for it.
     pub emulation: EmulatedNetwork<CoordinatorProcess>,
 }
 
 impl Network {
-    /// A network of nodes that have not been started, each taking all others for members.
+    /// Creates a network of nodes that have not been started, each of which considers all others
+    /// members.
     pub fn new(nodes: usize, limits: Limits, seed: u64) -> Network {
         let config = NetworkConfig {
             delay: DELAY,
@@ -111,7 +114,7 @@
         Network { emulation }
     }
 
-    /// Sets which other nodes a node takes for members, right or wrong.
+    /// Sets which other nodes a node considers members, correctly or not.
     pub fn set_view(&mut self, node: usize, is_member: impl Fn(usize) -> bool) {
         let view = other_nodes(self.emulation.len(), node, is_member);
         if let Some(process) = self.emulation.process_mut(node) {
@@ -120,7 +123,7 @@
         self.emulation.settings.views[node] = view;
     }
 
-    /// Cuts the links between these nodes and all others, both ways.
+    /// Cuts the links between these nodes and all others in both directions.
     pub fn partition(&mut self, nodes: &BTreeSet<usize>) {
         let (inside, outside): (Vec<_>, Vec<_>) =
             (0..self.emulation.len()).partition(|node| nodes.contains(node));
@@ -135,14 +138,14 @@
         }
     }
 
-    /// Sets how many other nodes' shares a node would use beside its own.
+    /// Sets how many shares of other nodes a node wants to use in addition to its own.
     pub fn request_leases(&mut self, node: usize, shares: usize) {
         if let Some(process) = self.emulation.process_mut(node) {
             process.coordinator.request_leases(shares);
         }
     }
 
-    /// A node's coordinator, if its process runs or is paused.
+    /// Returns a node's coordinator, if its process runs or is paused.
     pub fn get(&self, node: usize) -> Option<Observed<'_>> {
         let process = self.emulation.process(node)?;
         Some(Observed {
@@ -151,19 +154,20 @@
         })
     }
 
-    /// The sum of the shares of all nodes that may still send. A node that was paused a short time ago may be between a look at
-    /// its clock and the write that goes by it.
+    /// Returns the sum of the shares of all nodes that may still send. A node that was paused a
+    /// short time ago counts with the share at that time, since it may have been paused between
+    /// reading its clock and the write that this reading allows.
     pub fn total_share(&self) -> f64 {
         let limits = &self.emulation.settings.limits;
         let max_pause = limits.max_pause.times(1.0 - 2.0 * limits.max_clock_drift);
         let now = self.emulation.now;
         let share = |node: usize| {
-            let looked_at_clock = match self.emulation.paused_since(node) {
+            let clock_read_at = match self.emulation.paused_since(node) {
                 Some(since) if now - since > max_pause => return 0.0,
                 Some(since) => since,
                 None => now,
             };
-            let clock = self.emulation.clock(node, looked_at_clock);
+            let clock = self.emulation.clock(node, clock_read_at);
             self.emulation
                 .process(node)
                 .map_or(0.0, |process| process.coordinator.budget_share(clock))
@@ -171,8 +175,8 @@
         (0..self.emulation.len()).map(share).sum()
     }
 
-    /// Runs for some time; `observe` is called after each event and at the end.
-    pub fn play(&mut self, span: Span, mut observe: impl FnMut(&Network)) {
+    /// Runs the emulation for a span of time. `observe` is called after each event and at the end.
+    pub fn run_for(&mut self, span: Span, mut observe: impl FnMut(&Network)) {
         let until = self.emulation.now + span;
         while self.emulation.step(until) {
             observe(self);
@@ -181,7 +185,7 @@
     }
 }
 
-/// Those of the other nodes that are members.
+/// Returns the other nodes for which `is_member` is true.
 fn other_nodes(nodes: usize, node: usize, is_member: impl Fn(usize) -> bool) -> Vec<NodeId> {
     (0..nodes)
         .filter(|other| *other != node && is_member(*other))
--- a/crates/coordination/src/wire.rs
+++ b/crates/coordination/src/wire.rs
@@ -1,5 +1,6 @@
-//! The messages of load reports and leases, in datagrams of the membership's encoding with a version of their own: a node of
-//! an older version drops them. postcard encodes variants by index and fields by order: their order must not change.
+//! The messages of load reports and leases. Their datagrams have the membership's encoding with a
+//! version of their own, so that a node of an older version drops them. postcard encodes variants
+//! by index and fields by order, so the order of both must not change.
 use quartzhub_membership::endpoint::{DatagramEntry, DatagramHead};
 use quartzhub_membership::wire::decode;
 pub use quartzhub_membership::wire::{DatagramError, Packet, MAX_DATAGRAM_BYTES};
@@ -9,24 +10,24 @@
 use crate::leases::{LeaseAction, LeaseKey};
 use crate::load_reports::LoadReport;
 
-/// The first byte of a datagram. The membership's are 1 and 2.
+/// The protocol version, which is the first byte of a datagram. The membership uses 1 and 2.
 pub const VERSION: u8 = 3;
 
-/// A message, of which a datagram carries any number.
+/// A message. A datagram carries any number of them.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum Entry {
-    /// A node's report of its own load, passed on by others.
+    /// A node's report of its own load, which other nodes pass on.
     LoadReport(LoadReport),
     /// The sender requests a lease.
     LeaseRequest(LeaseKey),
-    /// The sender, of the lease's quorum group, grants it.
+    /// The sender, which belongs to the lease's quorum group, grants the lease.
     LeaseGrant(LeaseKey),
-    /// The sender does not use the lease any more, and will not by grants of that round.
+    /// The sender no longer uses the lease, and will not use it by grants of that round.
     LeaseRelease(LeaseKey),
 }
 
 impl Entry {
-    /// The node whose load or share it is about.
+    /// Returns the node whose load or share the message is about.
     pub fn node(&self) -> NodeId {
         match *self {
             Entry::LoadReport(report) => report.node,
@@ -58,7 +59,7 @@
 pub struct Head {
     /// The sender.
     pub from: NodeId,
-    /// Whether the sender wants reports in return.
+    /// Whether the sender requests reports in response.
     pub wants_reports: bool,
 }
 
@@ -72,12 +73,12 @@
     }
 }
 
-/// Whether a datagram is of this protocol, and not of the membership's.
+/// Returns whether a datagram belongs to this protocol rather than to the membership's.
 pub fn is_coordination_datagram(bytes: &[u8]) -> bool {
     bytes.first() == Some(&VERSION)
 }
 
-/// Decodes a datagram, whole or not at all.
+/// Decodes a datagram, completely or not at all.
 pub fn decode_datagram(bytes: &[u8], fleet: u32) -> Result<(Head, Vec<Entry>), DatagramError> {
     decode(VERSION, bytes, fleet)
 }
--- a/crates/coordination/tests/properties.rs
+++ b/crates/coordination/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties that hold whatever the network, the processes and the clocks do.
+//! Properties that hold for any faults of the network, the processes and the clocks.
 use std::collections::BTreeSet;
 
 use proptest::prelude::*;
@@ -40,7 +40,7 @@
 
 fn inject(network: &mut Network, fault: Fault) {
     match fault {
-        Fault::Cut(these) => network.partition(&these),
+        Fault::Cut(isolated) => network.partition(&isolated),
         Fault::OneWay(from, to) => drop(network.emulation.links.cuts.insert((from, to))),
         Fault::Heal => network.emulation.links.cuts.clear(),
         Fault::Pause(at) => network.emulation.pause_until_resumed(at),
@@ -63,15 +63,16 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 96, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Over all nodes that may still send, on both sides of any partition, the shares add up to one at most, at every moment;
-    /// and once the network has healed, each node has its own again within a bounded time.
+    /// The shares of all nodes that may still send, on both sides of any partition, never add up to
+    /// more than one. Once the network has healed, each node has its own share again within a
+    /// bounded time.
     #[test]
     fn shares_never_add_up_to_more_than_one((nodes, seed, events) in history()) {
         let mut network = Network::new(nodes, Limits::default(), seed);
         network.emulation.start_all();
-        let mut most = 0.0f64;
-        for (wait, fault) in events {
-            network.play(Span::ms(wait), |network| most = most.max(network.total_share()));
+        let mut max_total = 0.0f64;
+        for (delay, fault) in events {
+            network.run_for(Span::ms(delay), |network| max_total = max_total.max(network.total_share()));
             inject(&mut network, fault);
         }
         for at in 0..nodes {
@@ -84,17 +85,18 @@
         }
         network.emulation.links.cuts.clear();
         network.emulation.links.loss = 0.0;
-        network.play(Span::ms(12_000), |network| most = most.max(network.total_share()));
-        prop_assert!(most <= 1.0 + 1e-9, "{most}");
+        network.run_for(Span::ms(12_000), |network| max_total = max_total.max(network.total_share()));
+        prop_assert!(max_total <= 1.0 + 1e-9, "{max_total}");
         for at in 0..nodes {
-            let node = network.get(at).expect("it runs");
+            let node = network.get(at).expect("the node runs");
             prop_assert!((node.budget_share() - 1.0 / nodes as f64).abs() < 1e-9);
         }
     }
 
-    /// No datagram makes a node panic, grow or take over more than it can have.
+    /// Random bytes and corrupted datagrams are dropped, and neither make a node panic nor change
+    /// its state.
     #[test]
-    fn a_datagram_is_decoded_whole_or_dropped(
+    fn malformed_datagrams_are_dropped(
         bytes in proptest::collection::vec(any::<u8>(), 0..300),
         flip in any::<prop::sample::Index>(),
     ) {
@@ -102,7 +104,7 @@
         coordinator.start(Time(0));
         let mut out = Vec::new();
         coordinator.receive(Time(0), NodeId(1), &bytes, &mut out);
-        // A good datagram, one bit of it flipped.
+        // A valid datagram with one bit flipped.
         let mut other = Coordinator::new(NodeId(1), 5, 7, 2, Limits::default());
         other.start(Time(0));
         other.tick(Time(1_000_000), 1, &[NodeId(0)], &mut out);
--- a/crates/coordination/tests/recorded_datagrams.rs
+++ b/crates/coordination/tests/recorded_datagrams.rs
@@ -1,5 +1,5 @@
-//! Datagrams of every kind, byte for byte as nodes of this protocol version send them: a fleet is updated node by node, so
-//! the encoding must not change without a new version.
+//! Recorded datagrams of every kind, byte for byte. A fleet is updated node by node, so the
+//! encoding must not change without a new protocol version.
 use quartzhub_coordination::leases::LeaseKey;
 use quartzhub_coordination::load_reports::LoadReport;
 use quartzhub_coordination::wire::{decode_datagram, Entry, Head, Packet, VERSION};
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_started_node_sends_these_datagrams() {
+fn started_node_sends_the_recorded_datagrams() {
     let mut coordinator = Coordinator::new(NodeId(1), 3, FLEET, 7, Limits::default());
     coordinator.start(Time(0));
     let mut out = Vec::new();
