--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -1,5 +1,5 @@
-//! Connects the policy to the bench: batches of events come in on standard input, one a line, and a
-//! line of actions goes out on standard output for each. Takes no decision of its own.
+//! Connects the policy to the bench: reads batches of events from standard input, one per line, and
+//! writes one line of actions to standard output for each. It makes no decisions of its own.
 #![deny(missing_docs)]
 
 mod action_writer;
@@ -18,9 +18,7 @@
 fn main() -> ExitCode {
     clap::Command::new("quartzhub-benchlink")
         .version(env!("CARGO_PKG_VERSION"))
-        .about(
-            "Speaks the bench's wire on standard input and output for quartzhub's decision module",
-        )
+        .about("Runs quartzhub's policy for the bench (events on stdin, actions on stdout)")
         .get_matches();
     match serve(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
@@ -31,11 +29,11 @@
     }
 }
 
-/// Answers batches until the input ends.
+/// Handles batches and writes the responses until the input ends.
 fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), ServeError> {
     let mut bench = Bench::default();
     let mut line = Vec::new();
-    let mut reply = Vec::new();
+    let mut response = Vec::new();
     for number in 1u64.. {
         line.clear();
         let read = input
@@ -44,14 +42,14 @@
         if read == 0 {
             break;
         }
-        reply.clear();
+        response.clear();
         bench
-            .handle_batch(&line, &mut reply)
+            .handle_batch(&line, &mut response)
             .map_err(|source| ServeError::Batch { number, source })?;
         output
-            .write_all(&reply)
+            .write_all(&response)
             .and_then(|()| output.flush())
-            .map_err(ServeError::Reply)?;
+            .map_err(ServeError::Write)?;
     }
     Ok(())
 }
--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -1,4 +1,4 @@
-//! The bench's messages. The wire's names are mapped to the policy's terms here.
+//! The bench's messages. Maps the names of the wire format to the policy's terms.
 use std::borrow::Cow;
 use std::fmt;
 
@@ -8,12 +8,12 @@
 
 use crate::error::EventError;
 
-/// A text that is borrowed from the line unless it holds escapes.
+/// A string that is borrowed from the input line unless it contains escapes.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Text<'a>(Cow<'a, str>);
 
 impl Text<'_> {
-    /// The text.
+    /// Returns the string.
     pub(crate) fn as_str(&self) -> &str {
         &self.0
     }
@@ -25,7 +25,7 @@
         impl<'de> Visitor<'de> for TextVisitor {
             type Value = Text<'de>;
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-                f.write_str("a text")
+                f.write_str("a string")
             }
             fn visit_borrowed_str<E: Error>(self, text: &'de str) -> Result<Text<'de>, E> {
                 Ok(Text(Cow::Borrowed(text)))
@@ -33,7 +33,7 @@
             fn visit_str<E: Error>(self, text: &str) -> Result<Text<'de>, E> {
                 Ok(Text(Cow::Owned(text.to_owned())))
             }
-            // Sites without tenants may say 0 for none.
+            // In simulations without tenants, the field may hold the number 0 for none.
             fn visit_u64<E: Error>(self, _: u64) -> Result<Text<'de>, E> {
                 Ok(Text::default())
             }
@@ -60,26 +60,26 @@
     pub(crate) events: Vec<Event<'a>>,
 }
 
-/// What an event tells; named as on the wire.
+/// The kind of an event. The variants have the names of the wire format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum MessageKind {
     /// A node starts.
     Create,
-    /// A node ends.
+    /// A node stops.
     Halt,
-    /// An endpoint list, which later updates name by its number.
+    /// An endpoint list, which later updates refer to by index.
     Manifest,
     /// An update of a node's endpoint list.
     Fleet,
     /// An API call.
     Order,
-    /// The first byte of a streamed answer.
+    /// The first byte of a streamed response.
     FirstByte,
     /// The result of an attempt.
     Done,
-    /// A client has left.
+    /// A client has disconnected.
     Withdrawn,
-    /// The timer has run out.
+    /// The timer has expired.
     Elapsed,
     /// The result of a health check.
     HealthResult,
@@ -88,7 +88,7 @@
 }
 
 impl MessageKind {
-    /// The kind of this name.
+    /// Returns the kind with this name.
     pub(crate) fn parse(name: &str) -> Result<MessageKind, EventError> {
         Ok(match name {
             "Create" => MessageKind::Create,
@@ -106,7 +106,7 @@
         })
     }
 
-    /// The error of a message of this kind that lacks a field.
+    /// Returns the error for a message of this kind that lacks a field.
     pub(crate) fn missing(self, field: &'static str) -> EventError {
         EventError::MissingField {
             message: self,
@@ -115,7 +115,7 @@
     }
 }
 
-/// Any event: the fields that some kind of message has. Unknown ones are skipped.
+/// An event of any kind: the union of the fields of all kinds. Unknown fields are skipped.
 #[derive(serde::Deserialize)]
 pub(crate) struct Event<'a> {
     #[serde(rename = "msg", borrow)]
@@ -152,7 +152,7 @@
     pub(crate) settings: Option<Box<serde_json::Value>>,
 }
 
-/// An entry of an endpoint list; lists outlive their batch, so it owns its texts.
+/// An entry of an endpoint list. It owns its strings because lists are kept after their batch.
 #[derive(serde::Deserialize)]
 pub(crate) struct ListedServer {
     #[serde(rename = "Server")]
@@ -172,7 +172,8 @@
 }
 
 impl ListedServer {
-    /// An unknown state is read as draining: nothing new goes there.
+    /// Returns the state. An unknown state counts as draining, so that the server gets no new
+    /// attempts.
     fn state(&self) -> EndpointState {
         match self.state.as_deref() {
             Some("on") => EndpointState::Ready,
@@ -181,7 +182,7 @@
         }
     }
 
-    /// The entry with the policy's terms; a start at 0 is one that is not known.
+    /// Returns the entry in the policy's terms. A start time of 0 means that the time is unknown.
     pub(crate) fn entry(&self) -> EndpointEntry<'_> {
         EndpointEntry {
             name: &self.id,
@@ -195,7 +196,7 @@
     }
 }
 
-/// The outcome of an attempt by its code.
+/// Returns the outcome of an attempt by its result code.
 pub(crate) fn attempt_outcome(code: &str) -> Outcome {
     match code {
         "OK" => Outcome::Success,
--- a/crates/benchlink/tests/transcript.rs
+++ b/crates/benchlink/tests/transcript.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: a line in, a line out.
+//! Runs the adapter as a process: one output line for each input line.
 use std::io::Write;
 use std::process::{Command, Stdio};
 
@@ -24,7 +24,7 @@
     format!("{out}{err}exit {}\n", output.status.code().unwrap_or(-1))
 }
 
-const START: &str = concat!(
+const VALID_INPUT: &str = concat!(
     r#"{"SimTime":10.0,"nodes":[]}"#,
     "\n",
     r#"{"SimTime":10.5,"nodes":[{"NodeId":"node/1","news":["#,
@@ -48,34 +48,34 @@
 );
 
 #[test]
-fn good_lines_and_odd_but_legal_events() {
+fn valid_lines_with_unusual_events_are_handled() {
     expect![[r#"
         {"nodes":[]}
         {"nodes":[{"NodeId":"node/1","steps":[{"msg":"SetAlarm","FromNow":20.0,"Label":"tick"}]}]}
         {"nodes":[{"NodeId":"node/1","steps":[{"msg":"Dispatch","Ticket":"a","Server":"10.0.0.1:1","Until":411.25},{"msg":"Dispatch","Ticket":"b","Server":"10.0.0.9:1","Until":411.25}]}]}
         {"nodes":[{"NodeId":"node/1","steps":[{"msg":"Dispatch","Ticket":"a","Server":"10.0.0.9:1","Until":411.25},{"msg":"RespondError","Ticket":"b"}]}]}
         exit 0
-    "#]].assert_eq(&run(&[], START));
+    "#]].assert_eq(&run(&[], VALID_INPUT));
 }
 
 #[test]
-fn halt_and_create_in_one_batch() {
-    let input = START.replace(r#"{"msg":"Create""#, r#"{"msg":"Halt"},{"msg":"Create""#);
-    assert_eq!(run(&[], &input), run(&[], START));
+fn node_can_halt_and_start_in_one_batch() {
+    let input = VALID_INPUT.replace(r#"{"msg":"Create""#, r#"{"msg":"Halt"},{"msg":"Create""#);
+    assert_eq!(run(&[], &input), run(&[], VALID_INPUT));
 }
 
 #[test]
-fn malformed_lines_and_arguments() {
-    let mut said = String::new();
+fn malformed_lines_and_arguments_fail() {
+    let mut outputs = String::new();
     for line in [
         "{oops\n",
         "{\"nodes\":[]}\n",
         "{\"SimTime\":1,\"nodes\":[{\"NodeId\":\"node/1\",\"news\":[{\"msg\":\"Dance\"}]}]}\n",
     ] {
-        said.push_str(&run(&[], line));
+        outputs.push_str(&run(&[], line));
     }
-    said.push_str(&run(&["--version"], ""));
-    said.push_str(run(&["--fast"], "").lines().next().unwrap_or_default());
+    outputs.push_str(&run(&["--version"], ""));
+    outputs.push_str(run(&["--fast"], "").lines().next().unwrap_or_default());
     expect![[r#"
         quartzhub-benchlink: line 1: not a batch: key must be a string at line 1 column 2
         exit 1
@@ -86,13 +86,13 @@
         quartzhub-benchlink 0.1.0
         exit 0
         error: unexpected argument '--fast' found"#]]
-    .assert_eq(&said);
+    .assert_eq(&outputs);
     assert!(run(&["--fast"], "").ends_with("exit 2\n"));
 }
 
 #[test]
-fn an_error_names_the_line_the_node_and_what_is_missing() {
-    let mut said = String::new();
+fn error_names_the_line_the_node_and_the_missing_field() {
+    let mut outputs = String::new();
     for events in [
         r#"{"msg":"Create"}"#,
         r#"{"msg":"Manifest"}"#,
@@ -103,7 +103,7 @@
         r#"{"msg":"Create","Setup":{}},{"msg":"Fleet","List":3}"#,
     ] {
         let line = format!(r#"{{"SimTime":1,"nodes":[{{"NodeId":"n","news":[{events}]}}]}}"#);
-        said.push_str(&run(&[], &(line + "\n")));
+        outputs.push_str(&run(&[], &(line + "\n")));
     }
     expect![[r#"
         quartzhub-benchlink: line 1: n: Create without Setup
@@ -121,5 +121,5 @@
         quartzhub-benchlink: line 1: n: Fleet names list 3, never given
         exit 1
     "#]]
-    .assert_eq(&said);
+    .assert_eq(&outputs);
 }
--- a/crates/coordination/src/limits.rs
+++ b/crates/coordination/src/limits.rs
@@ -6,7 +6,7 @@
 pub struct Limits {
     /// Interval between datagrams of reports. The receiver of each one responds with its own
     /// reports, so that random selection leaves no node without reports. In all, a node sends four
-    /// or five datagrams of reports per second, whatever the size of the fleet.
+    /// or five datagrams of reports per second, regardless of the size of the fleet.
     pub report_interval: Span,
     /// Time in which the weight of a report halves. Load changes within seconds.
     pub report_half_life: Span,
--- a/crates/coordination/tests/load_reports.rs
+++ b/crates/coordination/tests/load_reports.rs
@@ -3,9 +3,9 @@
 use quartzhub_coordination::Limits;
 use quartzhub_policy::{NodeLoad, Span};
 
-/// Reports reach all nodes within three seconds, at the same traffic per node whatever the size of
-/// the fleet. A faulty node moves the sum by no more than the bound, and reports of silent nodes
-/// expire.
+/// Reports reach all nodes within three seconds, at the same traffic per node regardless of the
+/// size of the fleet. A faulty node moves the sum by no more than the bound, and reports of silent
+/// nodes expire.
 #[test]
 fn reports_reach_all_nodes_and_a_faulty_report_is_bounded() {
     for nodes in [8, 64, 256] {
--- a/crates/membership/src/failure_detector/probing.rs
+++ b/crates/membership/src/failure_detector/probing.rs
@@ -46,7 +46,7 @@
     }
 
     /// Pings additional members while this node is isolated. Others may still receive its
-    /// datagrams, and one of them can then report it as heard before it is declared dead.
+    /// datagrams, and one of them can then report this before the node is declared dead.
     pub(crate) fn solicit_heard_reports(&mut self, now: Time, out: &mut Vec<Datagram>) {
         let is_isolated = self.local_health.is_isolated(now, &self.limits);
         if !is_isolated || self.limits.disabled.heard_reports {
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Ends the probe of the previous period. Its target is suspected if it has not been heard
-    /// since.
+    /// Ends the probe of the previous period. Its target is suspected if no datagram of it has been
+    /// received since.
     pub(crate) fn conclude_probe(&mut self, now: Time) {
         let Some(probe) = self.detector.probe.take() else {
             return;
--- a/crates/membership/src/failure_detector/suspicion.rs
+++ b/crates/membership/src/failure_detector/suspicion.rs
@@ -1,5 +1,5 @@
-//! Suspicions: which confirmations they need, how a report that the suspect was heard ends them,
-//! and when they end in a declaration of death.
+//! Suspicions: which confirmations they need, which reports end them, and when they end in a
+//! declaration of death.
 use quartzhub_policy::Time;
 
 use crate::membership::Membership;
@@ -29,8 +29,8 @@
             return;
         }
         self.maybe_probe_next(node);
-        // A probe fails one period after it began, so a member heard within the last period was
-        // heard after the probe began.
+        // A probe fails one period after it began, so a datagram received within the last period
+        // arrived after the probe began.
         let was_heard_since = self
             .table
             .get(node)
@@ -68,7 +68,8 @@
         self.limits.required_confirmations.min(others).max(1)
     }
 
-    /// Ends a suspicion, and reports to other nodes that this node hears the suspect.
+    /// Ends a suspicion, and reports to other nodes that this node receives datagrams from the
+    /// suspect.
     pub(crate) fn report_heard(&mut self, now: Time, node: NodeId, incarnation: u32) {
         self.table
             .clear_suspicion(now, node, self.limits.suspicion_holdoff);
--- a/crates/membership/src/limits.rs
+++ b/crates/membership/src/limits.rs
@@ -5,7 +5,7 @@
 #[derive(Debug, Clone)]
 pub struct Limits {
     /// Interval between probes. With a ping and an ack of about 60 bytes each, a node sends about
-    /// 400 bytes per second, whatever the size of the fleet.
+    /// 400 bytes per second, regardless of the size of the fleet.
     pub probe_period: Span,
     /// Time to wait for a direct ack before requesting indirect probes: several round trips of a
     /// slow network.
@@ -30,10 +30,12 @@
     /// Time for which a node suspects nobody after learning that it is suspected itself, because
     /// its own links may be at fault.
     pub self_suspected_hold: Span,
-    /// A member heard from within this time is not suspected because of a failed probe.
+    /// A member from which a datagram was received within this time is not suspected because of a
+    /// failed probe.
     pub recently_heard_window: Span,
-    /// Time after a refutation, or after another node's report that it hears the member, during
-    /// which outdated rumors do not renew the suspicion. Longer than a rumor circulates.
+    /// Time after a refutation, or after another node's report that it receives the member's
+    /// datagrams, during which outdated rumors do not renew the suspicion. Longer than a rumor
+    /// circulates.
     pub suspicion_holdoff: Span,
     /// Maximum local health score, in failed probes. Each point lengthens the ack timeout and the
     /// suspicion timeout.
@@ -91,11 +93,11 @@
     pub refutation: bool,
     /// A node never considers itself stalled, isolated or suspected (Lifeguard's local health).
     pub local_health: bool,
-    /// Nodes do not report that they hear a suspected member.
+    /// Nodes do not report that they receive datagrams from a suspected member.
     pub heard_reports: bool,
     /// A single suspector is enough to declare a member dead.
     pub confirmations: bool,
-    /// The drain override received last wins, whatever its version.
+    /// The drain override received last wins, regardless of its version.
     pub versions: bool,
 }
 
--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Handles a report that another node hears a suspected member.
+    /// Handles a report that another node has received a datagram from a suspected member.
     fn on_heard_report(&mut self, now: Time, node: NodeId, incarnation: u32, report: Entry) {
         let is_new = self.table.get(node).is_some_and(|member| {
             member.state == MemberState::Suspect && member.incarnation <= incarnation
--- a/crates/membership/src/table/transitions.rs
+++ b/crates/membership/src/table/transitions.rs
@@ -69,7 +69,8 @@
         true
     }
 
-    /// Ends a suspicion because some node hears the member, and holds off new ones for a time.
+    /// Ends a suspicion because some node receives datagrams from the member, and holds off new
+    /// ones for a time.
     pub(crate) fn clear_suspicion(&mut self, now: Time, node: NodeId, holdoff: Span) {
         let Some(member) = self.members.get_mut(node.index()) else {
             return;
