--- a/crates/membership/tests/cut_links.rs
+++ b/crates/membership/tests/cut_links.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn node_that_receives_nothing_removes_nobody_and_stays_a_member() {
+fn node_that_receives_nothing_removes_nobody_and_stays_member() {
     for seed in 1..=4 {
         let mut network = converged_network(12, Limits::default(), seed);
         let all: Vec<usize> = (0..12).collect();
--- a/crates/membership/tests/drain_overrides.rs
+++ b/crates/membership/tests/drain_overrides.rs
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn delayed_older_version_has_no_effect_unless_versions_disabled() {
+fn older_version_has_no_effect_unless_versions_are_disabled() {
     let count_drained = |limits: Limits| {
         let mut network = converged_network(12, limits, 5);
         let delayed = network
