--- a/crates/coordination/tests/recorded_datagrams.rs
+++ b/crates/coordination/tests/recorded_datagrams.rs
@@ -1,8 +1,8 @@
-//! Datagrams of every kind, byte for byte as nodes of this protocol version send them: a fleet is updated node by node, so
-//! the encoding must not change without a new version.
+//! Recorded datagrams of every kind, byte for byte. A fleet is updated node by node, so the
+//! encoding must not change without a new protocol version.
 use quartzhub_coordination::leases::LeaseKey;
 use quartzhub_coordination::load_reports::LoadReport;
-use quartzhub_coordination::wire::{read, Entry, Head, Packet, VERSION};
+use quartzhub_coordination::wire::{decode_datagram, Entry, Head, Packet, VERSION};
 use quartzhub_coordination::{Coordinator, Limits};
 use quartzhub_membership::NodeId;
 use quartzhub_policy::Time;
@@ -23,9 +23,9 @@
     for entry in entries {
         assert!(packet.add(entry));
     }
-    let bytes = packet.done();
+    let bytes = packet.finish();
     assert_eq!(hex(&bytes), expected);
-    assert_eq!(read(&bytes, FLEET), Ok((head, entries.to_vec())));
+    assert_eq!(decode_datagram(&bytes, FLEET), Ok((head, entries.to_vec())));
 }
 
 #[test]
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_started_node_sends_these_datagrams() {
+fn started_node_sends_the_recorded_datagrams() {
     let mut coordinator = Coordinator::new(NodeId(1), 3, FLEET, 7, Limits::default());
     coordinator.start(Time(0));
     let mut out = Vec::new();
