--- a/crates/node/src/accept_failures.rs
+++ b/crates/node/src/accept_failures.rs
@@ -1,4 +1,5 @@
-//! Accepts that fail: for their one connection, or for want of something that the next accept would lack as well.
+//! Classifies failed accepts: either only one connection failed, or a resource has run out and the
+//! next accept would fail too.
 use std::io;
 
 use crate::system::is_aborted_connection;
@@ -6,32 +7,32 @@
 #[cfg(test)]
 mod tests;
 
-/// Accepts that may fail in a row, each for its one connection, before a pause is made all the same.
+/// Consecutive accepts that may fail for their own connection only, before accepting pauses anyway.
 const MAX_CONSECUTIVE_ABORTED: usize = 1024;
 
-/// What follows an accept that failed.
+/// When to accept again after a failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcceptRetry {
-    /// The next connection is accepted at once: others wait behind one that has gone.
+    /// At once: only the failed connection was affected, and others may be queued behind it.
     AtOnce,
-    /// The next accept would fail as well.
+    /// After a pause: the next accept would fail too.
     AfterPause,
 }
 
-/// The failures of one listening socket. Guards against a pause for each of many clients that left before they were
-/// accepted, and against spinning: so many in a row are no clients' doing any more.
+/// Failures of one listening socket. Clients that disconnect before they are accepted cause no
+/// pause, but a long run of such failures can't be theirs and would make the accept loop spin.
 #[derive(Debug, Default)]
 pub struct AcceptFailures {
     consecutive_aborted: usize,
 }
 
 impl AcceptFailures {
-    /// A connection was accepted.
+    /// Records that a connection was accepted.
     pub fn on_accepted(&mut self) {
         self.consecutive_aborted = 0;
     }
 
-    /// An accept failed.
+    /// Records that an accept failed, and decides when to accept again.
     pub fn on_failure(&mut self, error: &io::Error) -> AcceptRetry {
         if is_aborted_connection(error) && self.consecutive_aborted < MAX_CONSECUTIVE_ABORTED {
             self.consecutive_aborted += 1;
--- a/crates/node/src/accept_failures/tests.rs
+++ b/crates/node/src/accept_failures/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn accepts_that_fail_for_their_connection_are_followed_at_once_up_to_a_bound() {
+fn aborted_connections_cause_no_pause_up_to_a_limit() {
     let mut failures = AcceptFailures::default();
     for _ in 0..3 {
         for _ in 0..MAX_CONSECUTIVE_ABORTED {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_connection_that_is_accepted_starts_the_count_anew() {
+fn accepted_connection_resets_the_failure_count() {
     let mut failures = AcceptFailures::default();
     for _ in 0..10 * MAX_CONSECUTIVE_ABORTED {
         assert_eq!(
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn want_of_descriptors_is_followed_by_a_pause() {
+fn running_out_of_descriptors_causes_a_pause() {
     let mut failures = AcceptFailures::default();
     assert_eq!(
         failures.on_failure(&error(libc::EMFILE)),
--- a/crates/node/src/clients/accept.rs
+++ b/crates/node/src/clients/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections, while there is capacity for them.
+//! Accepts clients' connections while there is capacity for them.
 use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
@@ -18,10 +18,10 @@
 use crate::messages::AcceptCapacity;
 use crate::system::{bind_with_retry, is_readable};
 
-/// Tries to accept who waits as accepting ends.
+/// Most connections accepted from the listen queue when accepting is stopped.
 const MAX_FINAL_ACCEPTS: usize = 1024;
 
-/// Listens on an address, once it is free.
+/// Listens on an address; retries while the address is in use.
 pub async fn listen(on: SocketAddr, clock: Clock, limits: &Limits) -> io::Result<TcpListener> {
     bind_with_retry(on, clock, limits, || TcpListener::bind(on)).await
 }
@@ -34,7 +34,7 @@
 }
 
 impl Acceptor {
-    /// Accepts connections from now on, while there is capacity for them.
+    /// Starts to accept connections while there is capacity for them.
     pub fn start(executor: Rc<EffectExecutor>, listener: TcpListener) -> Acceptor {
         let last_accepted = Rc::new(Cell::new(executor.clock.now()));
         let stop_requested = Rc::new(Notify::new());
@@ -53,21 +53,22 @@
         }
     }
 
-    /// When the last connection was accepted, or accepting began.
+    /// When the last connection was accepted, or accepting started.
     pub fn last_accepted(&self) -> Time {
         self.last_accepted.get()
     }
 
-    /// Accepts what lies in the listen queue and closes the socket.
+    /// Accepts the connections in the listen queue, then closes the socket.
     pub async fn stop(self) {
         self.stop_requested.notify_one();
         let _ = self.task.await;
     }
 
-    /// Closes the socket and leaves the listen queue to the process that it is shared with.
+    /// Closes the socket at once; the listen queue is left to the process that shares the socket.
     pub async fn abort(self) {
         self.task.abort();
-        // The task owns the socket: once it has ended, no connection can come that nobody reads.
+        // The task owns the socket: once it has ended, it can't accept a connection that is then
+        // lost.
         let _ = self.task.await;
     }
 }
@@ -76,7 +77,7 @@
     executor: Rc<EffectExecutor>,
     listener: TcpListener,
     last_accepted: Rc<Cell<Time>>,
-    /// Since when clients may wait in the listen queue, as nobody is accepted.
+    /// Start of the current pause in accepting: clients may have waited in the queue since then.
     paused_since: Option<Time>,
     attempts: usize,
     failures: AcceptFailures,
@@ -93,8 +94,9 @@
 
     async fn accept_all(&mut self) {
         loop {
-            // Guards against spinning on an accept that can't succeed: with all descriptors in use, an idle
-            // connection is closed, and the next client is accepted when there is one.
+            // With all descriptors in use, accept fails at once and would be retried in a busy
+            // loop. Instead an idle connection is closed, and the next client is accepted after
+            // that.
             match self.free_capacity() {
                 AcceptCapacity::Free => self.accept_next().await,
                 AcceptCapacity::Soon => tokio::task::yield_now().await,
@@ -103,19 +105,20 @@
         }
     }
 
-    /// Accepts who waits already, as the socket itself has it: the runtime may not have looked since a stall.
+    /// Accepts connections that are already queued. Polls the socket directly, as after a stall the
+    /// runtime may not have seen them yet.
     async fn empty_listen_queue(&mut self) {
         for _ in 0..MAX_FINAL_ACCEPTS {
             if !is_readable(&self.listener) || self.free_capacity() != AcceptCapacity::Free {
                 return;
             }
-            // The runtime looks at its sockets.
+            // Lets the runtime poll its sockets.
             tokio::task::yield_now().await;
             tokio::select! {
                 biased;
                 accepted = self.listener.accept() => match accepted {
                     Ok((stream, _)) => self.serve(stream),
-                    Err(error) => tracing::info!(%error, "accept failed at the end: {error}"),
+                    Err(error) => tracing::info!(%error, "accept failed during shutdown: {error}"),
                 },
                 () = std::future::ready(()) => {}
             }
@@ -152,7 +155,7 @@
         let accepted = tokio::select! {
             biased;
             accepted = self.listener.accept() => accepted,
-            // Nobody waits.
+            // The listen queue is empty.
             () = std::future::ready(()) => {
                 self.paused_since = None;
                 self.listener.accept().await
@@ -181,7 +184,7 @@
 
     async fn on_failure(&mut self, error: io::Error) {
         if self.failures.on_failure(&error) == AcceptRetry::AtOnce {
-            tracing::info!(%error, "accept failed for a connection that has gone: {error}");
+            tracing::info!(%error, "accept failed for one connection only: {error}");
             return;
         }
         self.pause();
--- a/crates/node/src/clients/arrival_times.rs
+++ b/crates/node/src/clients/arrival_times.rs
@@ -1,4 +1,5 @@
-//! When the bytes of a client were read, for commands that wait in its buffer behind others. No clock, no I/O.
+//! Arrival times of a client's bytes, for commands that queue in its buffer behind others. Uses no
+//! clock and no I/O.
 use std::collections::VecDeque;
 
 use quartzhub_policy::{Span, Time};
@@ -6,53 +7,54 @@
 #[cfg(test)]
 mod tests;
 
-/// Reads this close together count as one, at the time of the first: it bounds how many are kept where a slow client sends
-/// a few bytes at a time.
+/// Reads within this window are merged into one, at the time of the first. This bounds the number
+/// of records for a slow client that sends a few bytes at a time.
 const READ_MERGE_WINDOW: Span = Span::ms(5);
 
 struct Read {
     at: Time,
-    /// Bytes read up to and including it, since the connection was accepted.
+    /// Total bytes read up to its end, since the connection was accepted.
     end: u64,
 }
 
-/// The reads whose bytes still lie in a connection's buffer.
+/// The reads whose bytes are still in a connection's buffer.
 #[derive(Default)]
 pub struct ArrivalTimes {
     reads: VecDeque<Read>,
     /// Bytes taken from the buffer since the connection was accepted.
     consumed: u64,
-    /// Since when bytes may lie unread, as nothing was read.
+    /// Start of the pause in reading, if there is one: bytes may have been unread since then.
     paused_since: Option<Time>,
-    /// For how long the command at hand was not read on, so that its sender had to wait.
-    held_back: Span,
+    /// How long reading the current command was suspended, which blocked its sender.
+    read_delay: Span,
 }
 
 impl ArrivalTimes {
-    /// Nothing is read from now on, until further notice.
+    /// Records that reading is paused from now on.
     pub fn pause_reading(&mut self, now: Time) {
         self.paused_since.get_or_insert(now);
     }
 
-    /// All that has come is read.
+    /// Records that all bytes that have arrived are read.
     pub fn caught_up(&mut self) {
         self.paused_since = None;
     }
 
-    /// The command at hand was not read on for so long. Guards against taking its last byte for sent when it came: a window
-    /// that was full has kept it at the client.
-    pub fn hold_back(&mut self, wait: Span) {
-        self.held_back = self.held_back + wait;
+    /// Records that reading the current command was suspended for `delay`. Its last byte may have
+    /// been sent that much before it arrived: a full TCP window kept it at the client.
+    pub fn add_read_delay(&mut self, delay: Span) {
+        self.read_delay = self.read_delay + delay;
     }
 
-    /// So many more bytes have been read. `last_came`: how long ago the last of them came, asked where they may have lain
-    /// unread. Guards against a command that is taken to have come just now: the last byte's time is the last command's, and
-    /// all before it may have come as early as reading paused.
-    pub fn read(&mut self, now: Time, count: usize, last_came: impl FnOnce() -> Option<Span>) {
+    /// Records that `count` more bytes have been read. After a pause they may have arrived long
+    /// before they were read: `last_byte_age` then returns how long ago the last byte arrived, which
+    /// is the time of the last command, and all earlier bytes count as arrived when the pause
+    /// began.
+    pub fn read(&mut self, now: Time, count: usize, last_byte_age: impl FnOnce() -> Option<Span>) {
         let before = self.reads.back().map_or(self.consumed, |last| last.end);
         let end = before + count as u64;
         if let Some(since) = self.paused_since {
-            let last = last_came().map_or(since, |ago| (now - ago).max(since));
+            let last = last_byte_age().map_or(since, |age| (now - age).max(since));
             if end - 1 > before {
                 self.reads.push_back(Read {
                     at: since,
@@ -62,7 +64,7 @@
             self.reads.push_back(Read { at: last, end });
             return;
         }
-        let at = now - self.held_back;
+        let at = now - self.read_delay;
         match self
             .reads
             .back_mut()
@@ -73,10 +75,11 @@
         }
     }
 
-    /// A command of so many bytes is taken from the buffer: tells when its last byte was read, if it is known.
+    /// Records that a command of `count` bytes is taken from the buffer. Returns when its last byte
+    /// was read, if that is known.
     pub fn take(&mut self, count: usize) -> Option<Time> {
         self.consumed += count as u64;
-        self.held_back = Span::ZERO;
+        self.read_delay = Span::ZERO;
         while self
             .reads
             .front()
--- a/crates/node/src/clients/arrival_times/tests.rs
+++ b/crates/node/src/clients/arrival_times/tests.rs
@@ -1,4 +1,4 @@
-//! Commands and reads that do not end together.
+//! Arrival times of commands whose ends differ from those of reads.
 use super::*;
 
 fn at(ms: i64) -> Time {
@@ -6,12 +6,12 @@
 }
 
 #[test]
-fn a_command_counts_from_the_read_of_its_last_byte() {
+fn command_arrives_with_the_read_of_its_last_byte() {
     let mut arrivals = ArrivalTimes::default();
     arrivals.read(at(10), 25, || None);
     arrivals.read(at(40), 10, || None);
     arrivals.read(at(90), 5, || None);
-    // Two within the first read, one over its edge, and one that ends with the last byte of all.
+    // Two commands within the first read, one across its end, and one that ends with the last byte.
     assert_eq!(
         [10, 10, 8, 12].map(|count| arrivals.take(count)),
         [at(10), at(10), at(40), at(90)].map(Some)
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_slow_peers_pieces_are_kept_as_few_reads_that_are_never_too_late() {
+fn small_reads_are_merged_and_never_dated_too_late() {
     let mut arrivals = ArrivalTimes::default();
     (0..10_000).for_each(|i| arrivals.read(Time(i * 10), 1, || None));
     assert!(
@@ -31,27 +31,27 @@
         arrivals.reads.len()
     );
     for i in 0..10_000 {
-        let told = arrivals.take(1).expect("a time");
+        let arrived_at = arrivals.take(1).expect("a time");
         let read = Time(i * 10);
         assert!(
-            told <= read && read - told < READ_MERGE_WINDOW,
-            "byte {i}: {told:?}"
+            arrived_at <= read && read - arrived_at < READ_MERGE_WINDOW,
+            "byte {i}: {arrived_at:?}"
         );
     }
 }
 
 #[test]
-fn what_lay_unread_counts_from_when_nobody_looked_but_for_the_last_command() {
+fn unread_commands_date_from_the_pause_except_the_last() {
     let mut arrivals = ArrivalTimes::default();
     arrivals.pause_reading(at(100));
     arrivals.pause_reading(at(300));
-    // Two commands; the last byte came 50 ms before it was read.
+    // Two commands; the last byte arrived 50 ms before it was read.
     arrivals.read(at(400), 20, || Some(Span::ms(50)));
     assert_eq!(
         [arrivals.take(10), arrivals.take(10)],
         [Some(at(100)), Some(at(350))]
     );
-    // More of it is read, and the system tells nothing, or more than can be.
+    // Later reads of the same pause: the system reports no age, then an age before the pause.
     arrivals.read(at(400), 1, || None);
     arrivals.read(at(400), 7, || Some(Span::ms(9_000)));
     assert_eq!(
@@ -65,10 +65,10 @@
 }
 
 #[test]
-fn a_command_that_was_not_read_on_for_a_time_has_come_so_much_earlier() {
+fn command_with_suspended_reads_is_dated_earlier() {
     let mut arrivals = ArrivalTimes::default();
     arrivals.read(at(100), 10, || None);
-    arrivals.hold_back(Span::ms(300));
+    arrivals.add_read_delay(Span::ms(300));
     arrivals.read(at(410), 10, || None);
     arrivals.read(at(450), 5, || None);
     arrivals.read(at(450), 5, || None);
--- a/crates/node/src/clients/attributes.rs
+++ b/crates/node/src/clients/attributes.rs
@@ -1,4 +1,4 @@
-//! The list of names and values that a client sends along with an API call.
+//! Parses the attribute list that a client sends with an API call.
 use quartzhub_policy::Span;
 use winnow::combinator::{opt, separated, separated_pair};
 use winnow::prelude::*;
@@ -10,8 +10,9 @@
 #[cfg(test)]
 mod tests;
 
-/// Reads a list of names and values, `c=read,d=480`; unknown names are passed over. Guards against a wait that is no number
-/// or absent, and against a name that stands twice.
+/// Parses an attribute list such as `c=read,d=480`; unknown names are ignored. Returns `None` if
+/// the list is malformed, a name is repeated, or the remaining time (`d`) is missing or not a
+/// number.
 pub fn parse_attributes<'a>(mut list: &'a str, limits: &Limits) -> Option<RequestAttributes<'a>> {
     let pairs = attribute_pairs.parse_next(&mut list).ok()?;
     let is_repeated = |(index, pair): (usize, &Attribute)| {
@@ -27,7 +28,7 @@
             .map(|pair| pair.value)
     };
     let is_decimal = |text: &&str| text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    let wait_ms = value_of("d")
+    let time_left_ms = value_of("d")
         .filter(is_decimal)?
         .parse::<f64>()
         .ok()
@@ -35,14 +36,14 @@
     Some(RequestAttributes {
         product: value_of("c"),
         tenant: value_of("t"),
-        time_left: Span::from_ms(wait_ms).min(limits.longest_client_timeout),
+        time_left: Span::from_ms(time_left_ms).min(limits.longest_client_timeout),
         queued: Span::ZERO,
-        has_idempotency_key: value_of("k").is_some_and(|mark| !mark.is_empty()),
+        has_idempotency_key: value_of("k").is_some_and(|key| !key.is_empty()),
         is_client_retry: value_of("r") == Some("1"),
     })
 }
 
-/// One name with its value.
+/// One `name=value` pair.
 struct Attribute<'a> {
     name: &'a str,
     value: &'a str,
--- a/crates/node/src/clients/commands.rs
+++ b/crates/node/src/clients/commands.rs
@@ -1,4 +1,4 @@
-//! Clients' commands: each is read, checked and reported to the reducer.
+//! Parses and validates clients' commands, and reports them to the reducer.
 use std::rc::Rc;
 
 use bytes::Bytes;
@@ -17,22 +17,22 @@
 /// Why a command can't be executed; the client may send others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CommandError {
-    /// It has too few arguments, or too many.
+    /// Too few arguments, or too many.
     #[error("wrong number of arguments")]
     WrongNumberOfArguments,
-    /// Its name is not one that the node knows.
+    /// The command's name is not one that the node supports.
     #[error("unknown command")]
     UnknownCommand,
     /// The key is empty, too long or not printable ASCII.
     #[error("the key is no short plain text")]
     InvalidKey,
-    /// The same of the call's id.
+    /// The call's id is empty, too long or not printable ASCII.
     #[error("the id is no short plain text")]
     InvalidId,
-    /// The same of the list of attributes.
+    /// The attribute list is empty, too long or not printable ASCII.
     #[error("the list of names and values is no short plain text")]
     InvalidAttributes,
-    /// The list of attributes is not well-formed or lacks the time left.
+    /// The attribute list is malformed or lacks the remaining time (`d`).
     #[error("the list of names and values can't be read")]
     MalformedAttributes,
 }
@@ -40,34 +40,34 @@
 /// Why nothing more is read from a client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
-    /// What it sent is no command.
+    /// The bytes are not a command.
     #[error("Protocol error: commands are arrays of bulk strings")]
     MalformedCommand,
-    /// The rest of a command did not come in time.
+    /// The rest of a command did not arrive in time.
     #[error("Protocol error: the command did not come whole")]
     IncompleteCommand,
-    /// Too many of its commands could not be executed.
+    /// Too many of the client's commands could not be executed.
     #[error("too many commands that can't be done")]
     TooManyCommandErrors,
 }
 
-/// Tells a client what is wrong and closes its connection; nothing more is read from it.
+/// Sends a client an error response and closes its connection; nothing more is read from it.
 pub fn respond_protocol_error(executor: &Rc<EffectExecutor>, id: ClientId, error: ProtocolError) {
     let text = format!("-ERR {error}\r\n").into_bytes();
     executor.report(|reducer, now| reducer.respond_and_close(now, id, text));
 }
 
-/// What was taken from a client's buffer.
+/// What was taken from a client's buffer by one step.
 pub enum TakeResult {
     /// One command.
     Command,
     /// Nothing: no command is complete.
     Incomplete,
-    /// The last command, or one that is malformed; nothing after it is read.
+    /// A final command (QUIT), or a malformed one; nothing after it is read.
     EndOfInput,
 }
 
-/// A command as it came.
+/// A parsed command and its arrival time.
 struct ReceivedCommand<'a> {
     words: &'a [&'a [u8]],
     /// When its last byte was read.
@@ -85,7 +85,7 @@
     let result = match resp::command(buffer.unread(), limits) {
         _ if buffer.is_empty() => TakeResult::Incomplete,
         Parsed::Complete(words, used) => {
-            let quits = words
+            let is_quit = words
                 .first()
                 .is_some_and(|name| name.eq_ignore_ascii_case(b"QUIT"));
             let received_at = arrivals.take(used);
@@ -102,7 +102,7 @@
                 drop(words);
                 dispatch_large(executor, id, buffer.take(used), received_at);
             }
-            after_command(executor, id, quits)
+            after_command(executor, id, is_quit)
         }
         Parsed::Incomplete if buffer.unread().len() <= limits.max_command_bytes() => {
             TakeResult::Incomplete
@@ -119,7 +119,7 @@
     result
 }
 
-/// Dispatches a command whose value is shared with its bytes, and not copied.
+/// Dispatches a command whose value is a slice of its bytes, without a copy.
 fn dispatch_large(
     executor: &Rc<EffectExecutor>,
     id: ClientId,
@@ -132,26 +132,27 @@
             words: &words,
             received_at,
         };
-        let share = |value: &[u8]| bytes.slice_ref(value);
-        executor.report(|reducer, now| dispatch(reducer, now, id, &command, share, limits));
+        let slice = |value: &[u8]| bytes.slice_ref(value);
+        executor.report(|reducer, now| dispatch(reducer, now, id, &command, slice, limits));
     }
 }
 
-/// Whether more is read behind a command. Guards against a client that goes on sending what can't be executed.
-fn after_command(executor: &Rc<EffectExecutor>, id: ClientId, quits: bool) -> TakeResult {
+/// Decides whether more is read after a command: not after QUIT, and not from a client that has
+/// sent too many commands that can't be executed.
+fn after_command(executor: &Rc<EffectExecutor>, id: ClientId, is_quit: bool) -> TakeResult {
     let errors = executor.query(|reducer| reducer.command_errors(id));
     let too_many_errors = errors >= executor.limits.command_errors_per_client;
     if too_many_errors {
         respond_protocol_error(executor, id, ProtocolError::TooManyCommandErrors);
     }
-    if quits || too_many_errors {
+    if is_quit || too_many_errors {
         TakeResult::EndOfInput
     } else {
         TakeResult::Command
     }
 }
 
-/// Reports a command to the reducer. `to_bytes`: makes a value of the command one that can be kept.
+/// Reports a command to the reducer. `to_bytes` makes an owned value from one in the buffer.
 fn dispatch(
     reducer: &mut Reducer,
     now: Time,
@@ -194,14 +195,14 @@
     }
 }
 
-/// An API call as its words tell it.
+/// An API call parsed from a command's arguments.
 struct ApiCall<'a> {
     request: Request,
     attributes: RequestAttributes<'a>,
 }
 
-/// Checks the words of an API call. Guards against words that would break out of a command's or a request's
-/// frame at a server.
+/// Validates the arguments of an API call. They are sent on to servers, where a space or a line
+/// break could otherwise break out of the RESP command or the HTTP request.
 fn parse_api_call<'a>(
     key: &'a [u8],
     id: &'a [u8],
--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection from its first byte to its end.
+//! One client's connection, from accept to close.
 use std::ops::ControlFlow::{self, Break, Continue};
 use std::rc::Rc;
 
@@ -22,16 +22,16 @@
     executor.client_closed.notify_one();
 }
 
-/// What a client has still to get.
+/// What a client has yet to receive.
 pub(super) struct Outstanding {
-    /// Calls without a response.
+    /// Calls that await a response.
     calls: usize,
-    /// Items that the socket has not taken to their end.
+    /// Items that are not completely written to the socket.
     unwritten: usize,
-    /// The socket could take some of them now.
+    /// Whether some of them could be written now.
     writable: bool,
-    /// The items wait to be written together with the end of the connection.
-    held: bool,
+    /// Whether the items are deferred, to be written together with the FIN.
+    deferred: bool,
 }
 
 impl Outstanding {
@@ -39,9 +39,9 @@
         self.calls == 0 && self.unwritten == 0
     }
 
-    /// Whether nothing is left, or what can be written together with the end of the connection.
+    /// Whether nothing is left except what can be written together with the FIN.
     fn allows_close(&self) -> bool {
-        self.calls == 0 && (self.unwritten == 0 || self.held)
+        self.calls == 0 && (self.unwritten == 0 || self.deferred)
     }
 }
 
@@ -54,16 +54,16 @@
     pub(super) arrivals: ArrivalTimes,
     pub(super) reservation: BufferReservation<'a>,
     pub(super) large_command: Option<LargeCommand>,
-    /// False once a command was malformed or was the last: nothing more is read.
+    /// False after a malformed command or a final one (QUIT): nothing more is read.
     pub(super) reading: bool,
-    /// When the client last sent a command or took bytes.
+    /// When the client last sent a command or was last written to.
     pub(super) last_active: Time,
-    /// When the incomplete command at hand began.
+    /// When the incomplete command in the buffer began.
     pub(super) partial_since: Option<Time>,
-    /// Reads since the client is closed whatever may still come.
+    /// Number of reads since draining began.
     pub(super) final_reads: usize,
-    /// Until when responses are held for the end of the connection, although calls are open.
-    pub(super) held_until: Option<Time>,
+    /// Until when responses are deferred to the close although calls are open.
+    pub(super) deferred_until: Option<Time>,
 }
 
 impl<'a> Connection<'a> {
@@ -84,28 +84,28 @@
             last_active: executor.clock.now(),
             partial_since: None,
             final_reads: 0,
-            held_until: None,
+            deferred_until: None,
         }
     }
 
     async fn run(&mut self) {
         loop {
-            // Guards against attempts for a client that has left: its end may lie behind commands not taken yet.
+            // Commands ahead of the FIN of a disconnected client must not cause attempts.
             if self.client.aborted.get() || self.client.disconnect_reported().await {
                 return;
             }
             let taken = self.take_commands();
             self.reserve_buffer();
             let outstanding = self.outstanding();
-            // Guards against a flood of commands that keeps the one thread from all others.
+            // A client that floods commands must not starve the other tasks of this thread.
             if taken == self.executor.limits.commands_per_turn {
                 tokio::task::yield_now().await;
                 continue;
             }
-            let close_after_quiet = self.client.close_after_quiet.get();
-            // Guards against closing on a command that has come already, read or not: it is answered first.
-            let flow = match close_after_quiet.filter(|_| outstanding.allows_close()) {
-                Some(quiet) => self.close_if_quiet(quiet).await,
+            let close_after_quiet_period = self.client.close_after_quiet_period.get();
+            // Commands that have arrived, read or not, are responded to before the close.
+            let flow = match close_after_quiet_period.filter(|_| outstanding.allows_close()) {
+                Some(quiet_period) => self.close_if_quiet(quiet_period).await,
                 None => self.handle_event(&outstanding).await,
             };
             if flow.is_break() {
@@ -114,13 +114,13 @@
         }
     }
 
-    /// Takes the commands that have come, as far as the limits allow; tells how many.
+    /// Takes buffered commands as far as the limits allow, and returns their number.
     fn take_commands(&mut self) -> usize {
         let executor = self.executor;
         let limits = &executor.limits;
         let mut taken = 0;
         while self.reading && taken < limits.commands_per_turn && !self.is_streaming() {
-            // Guards also against a client that sends calls on and on and takes no response.
+            // Unwritten items count as well, for clients that send calls but read no responses.
             if self.pending_responses() + self.client.unwritten() >= limits.open_calls_per_client {
                 break;
             }
@@ -148,44 +148,44 @@
             .query(|reducer| reducer.is_streaming_to(self.id))
     }
 
-    /// Reserves what the buffer takes, or what a large command has been promised.
+    /// Reserves the buffer's capacity, or the size granted to a large command if that is more.
     pub(super) fn reserve_buffer(&mut self) {
-        let promised = self.large_command.as_ref().map_or(0, |large| large.size);
-        self.reservation.set(self.buffer.capacity().max(promised));
+        let granted = self.large_command.as_ref().map_or(0, |large| large.size);
+        self.reservation.set(self.buffer.capacity().max(granted));
     }
 
     pub(super) fn outstanding(&self) -> Outstanding {
         Outstanding {
             calls: self.pending_responses(),
             unwritten: self.client.unwritten(),
-            writable: self.client.has_writable_bytes() && !self.holds_responses(),
-            held: self.client.holds_responses() && !self.client.has_streamed_item(),
+            writable: self.client.has_writable_bytes() && !self.defers_responses(),
+            deferred: self.client.defers_responses() && !self.client.has_streamed_item(),
         }
     }
 
-    /// Whether responses are held although calls are open.
-    fn holds_responses(&self) -> bool {
+    /// Whether responses are deferred although calls are open.
+    fn defers_responses(&self) -> bool {
         let now = self.executor.clock.now();
-        self.held_until.is_some_and(|until| now < until)
+        self.deferred_until.is_some_and(|until| now < until)
     }
 
-    /// When the incomplete command at hand began: now, if that is not known yet.
+    /// Returns when the incomplete command began; sets it to now if it is not set yet.
     pub(super) fn partial_since(&mut self, now: Time) -> Time {
         *self.partial_since.get_or_insert(now)
     }
 
-    /// When the client counts as idle or as too slow, if nothing happens until then.
+    /// When the client counts as idle or too slow, if no event occurs before.
     fn deadline(&mut self, outstanding: &Outstanding) -> Time {
         let executor = self.executor;
         let limits = &executor.limits;
         if outstanding.writable {
             return self.last_active + limits.response_write_timeout;
         }
-        if let Some(until) = self.held_until.filter(|_| self.holds_responses()) {
+        if let Some(until) = self.deferred_until.filter(|_| self.defers_responses()) {
             return until;
         }
         if !outstanding.is_empty() {
-            // A client that waits for a response is not idle.
+            // A client that awaits a response is not idle.
             return executor.clock.now() + limits.longest_client_timeout;
         }
         let has_made_calls = executor.query(|reducer| reducer.has_made_calls(self.id));
@@ -195,7 +195,7 @@
         if has_made_calls {
             return self.partial_since(executor.clock.now()) + limits.partial_command_timeout;
         }
-        // Guards against clients that send nothing, or too little at a time.
+        // Limits new clients that send nothing, or only a few bytes at a time.
         let silent = self.last_active + limits.client_first_call_timeout;
         if self.buffer.is_empty() {
             return silent;
@@ -206,7 +206,7 @@
             .max(silent)
     }
 
-    /// Waits until there is something to read or to write, the client leaves, or the deadline passes.
+    /// Waits until the client can be read or written, disconnects, or its deadline passes.
     pub(super) async fn handle_event(&mut self, outstanding: &Outstanding) -> ControlFlow<()> {
         let executor = self.executor;
         let client = self.client;
@@ -214,13 +214,13 @@
         let deadline = self.deadline(outstanding);
         let at_call_limit =
             outstanding.calls + outstanding.unwritten >= limits.open_calls_per_client;
-        // Behind its open calls a client is read a little further, so that the wait of its next commands is known.
+        // At the call limit one more read is made, to record when the next commands arrived.
         let reads_ahead = at_call_limit && self.buffer.unread().len() < limits.read_bytes;
-        // Nothing is read behind a value that is streamed: should it break off, what was read would go unanswered.
+        // Not while streaming: commands read then get no response if the stream breaks off.
         let reads = self.reading
             && !self.is_streaming()
             && (!at_call_limit || reads_ahead)
-            && client.close_after_quiet.get().is_none();
+            && client.close_after_quiet_period.get().is_none();
         if !reads {
             self.arrivals.pause_reading(executor.clock.now());
         }
@@ -233,32 +233,32 @@
                 Ok(()) => self.flush(),
                 Err(_) => Break(()),
             },
-            // Guards against working on for a client that has left while nothing is read from it.
+            // Stops work for a client that disconnects while nothing is read from it.
             () = client.disconnected(), if !reads => Break(()),
             () = client.wake.notified() => self.flush(),
             () = tokio::time::sleep_until(executor.clock.instant(deadline)) => self.on_deadline(outstanding).await,
         }
     }
 
-    /// Writes what the socket takes, and reports it.
+    /// Writes as much as the socket accepts, and reports it.
     fn flush(&mut self) -> ControlFlow<()> {
-        if !self.holds_responses() {
-            self.write_responses(WriteMode::AtOnce);
+        if !self.defers_responses() {
+            self.write_responses(WriteMode::Immediate);
         }
         Continue(())
     }
 
-    /// Writes responses that wait for the end of the connection, as that may take a while.
-    pub(super) fn write_held_responses(&mut self) {
+    /// Writes deferred responses now, as the close may be delayed.
+    pub(super) fn write_deferred_responses(&mut self) {
         if self.client.unwritten() > 0 {
-            self.write_responses(WriteMode::AtOnce);
+            self.write_responses(WriteMode::Immediate);
         }
     }
 
-    /// Writes the last responses, so that the client gets them together with the end of the connection.
+    /// Writes the last responses, so that the client receives them together with the FIN.
     pub(super) fn write_last_responses(&mut self) {
         if self.client.unwritten() > 0 {
-            self.write_responses(WriteMode::WithEnd);
+            self.write_responses(WriteMode::WithFin);
         }
     }
 
@@ -275,18 +275,18 @@
         if outstanding.writable || idle && self.buffer.is_empty() && !has_input {
             return Break(());
         }
-        if idle && !self.buffer.is_empty() && !self.takes_rest_of_command(has_input).await? {
+        if idle && !self.buffer.is_empty() && !self.receives_rest_of_command(has_input).await? {
             self.reading = false;
             respond_protocol_error(self.executor, self.id, ProtocolError::IncompleteCommand);
         }
-        // What has come just now is taken first.
+        // Lets the runtime see bytes that have just arrived.
         tokio::task::yield_now().await;
         Continue(())
     }
 
-    /// Whether the rest of an incomplete command has come, although its time is over: after a stall timers run before the
-    /// runtime has seen what came.
-    async fn takes_rest_of_command(&mut self, has_input: bool) -> ControlFlow<(), bool> {
+    /// Whether the rest of an incomplete command has arrived by its timeout, unseen by the runtime:
+    /// after a stall, timers run before socket events.
+    async fn receives_rest_of_command(&mut self, has_input: bool) -> ControlFlow<(), bool> {
         if !has_input {
             return Continue(false);
         }
--- a/crates/node/src/clients/memory_budget.rs
+++ b/crates/node/src/clients/memory_budget.rs
@@ -1,20 +1,20 @@
-//! The memory that clients' commands take, of what all connections may take together.
+//! Reserves memory for clients' commands from the budget that all connections share.
 use crate::effects::EffectExecutor;
 use crate::reducer::Reducer;
 
-/// What one connection's buffer takes of the memory budget, or has been promised of it.
+/// The bytes of the memory budget that are used by, or reserved for, one connection's buffer.
 pub struct BufferReservation<'a> {
     executor: &'a EffectExecutor,
     bytes: usize,
 }
 
 impl<'a> BufferReservation<'a> {
-    /// A reservation of nothing.
+    /// Creates a reservation of zero bytes.
     pub fn new(executor: &'a EffectExecutor) -> BufferReservation<'a> {
         BufferReservation { executor, bytes: 0 }
     }
 
-    /// Sets what is reserved, whether it fits or not.
+    /// Sets the reserved bytes, even if they exceed the budget.
     pub fn set(&mut self, bytes: usize) {
         self.executor
             .client_buffer_bytes
@@ -25,12 +25,13 @@
         self.bytes = bytes;
     }
 
-    /// Reserves the memory of a large command once there is enough; false if there was not in time. Guards against many large
-    /// commands filling the memory, and against each having half of what one needs; while it waits, nothing is read from its
+    /// Waits deadline the whole memory of a large command is free and reserves it; returns false if
+    /// the wait times out. This keeps many large commands from exhausting the memory, and from
+    /// blocking each other with partial reservations. During the wait nothing is read from the
     /// client.
     pub async fn grow_when_free(&mut self, bytes: usize) -> bool {
         let executor = self.executor;
-        let until = executor
+        let deadline = executor
             .clock
             .instant(executor.clock.now() + executor.limits.capacity_wait);
         loop {
@@ -40,7 +41,7 @@
                 self.set(bytes);
                 return true;
             }
-            if tokio::time::timeout_at(until, executor.capacity_freed.notified())
+            if tokio::time::timeout_at(deadline, executor.capacity_freed.notified())
                 .await
                 .is_err()
             {
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: commands in, responses out in the same order.
+//! Clients' connections: reads commands and writes responses in the same order.
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io;
@@ -27,49 +27,51 @@
 
 pub use accept::{listen, Acceptor};
 
-/// What a client is still to be sent.
+/// One item of a client's output queue.
 enum Outgoing {
     Bytes {
         bytes: Vec<u8>,
-        /// The size under which the reducer counts it as buffered.
+        /// Size in bytes that the reducer has counted for it as buffered.
         counted_size: usize,
     },
-    /// A value that comes by this upstream.
+    /// A value that is streamed from this upstream.
     Streamed(Rc<Upstream>),
 }
 
-/// How much of the first outgoing item the socket has taken.
+/// How much of the first outgoing item has been written to the socket.
 enum WriteProgress {
     Complete,
     Partial,
-    /// All that the upstream has of a value so far.
+    /// All bytes of a value that the upstream has received so far.
     AwaitsUpstream,
 }
 
-/// Whether more follows what is written.
+/// Whether the FIN is about to follow the bytes that are written.
 #[derive(Clone, Copy, PartialEq)]
 enum WriteMode {
-    AtOnce,
-    /// The system is to send it together with the end of the connection, which follows. Guards against a stall between
-    /// the two, in which the client would send its next command.
-    WithEnd,
+    Immediate,
+    /// The kernel holds the bytes back (`MSG_MORE`) until the FIN follows, and sends both together.
+    /// Otherwise, if the process stalled between the two, the client would send its next command.
+    WithFin,
 }
 
-/// The sending half of a client's connection, and how the connection is to end.
+/// The sending half of a client's connection, with the state that decides how it is closed.
 pub struct Client {
     stream: TcpStream,
-    /// What the socket has not taken to its end yet.
+    /// Items that are not completely written to the socket yet.
     outgoing: RefCell<VecDeque<Outgoing>>,
-    /// Bytes of the first outgoing item that the socket has taken.
-    first_written: Cell<usize>,
-    /// The connection is to be closed once nothing has come from the client for so long.
-    close_after_quiet: Cell<Option<Span>>,
-    /// The process is about to end: commands that have come by now are taken, and no more.
+    /// Bytes of the first outgoing item that have been written.
+    front_written: Cell<usize>,
+    /// If set, the connection is closed once the client has sent nothing for this duration.
+    close_after_quiet_period: Cell<Option<Span>>,
+    /// Whether the client is being drained as the process is about to exit: commands that have
+    /// already arrived are still taken, later ones are not.
     draining: Cell<bool>,
     aborted: Cell<bool>,
-    /// Nothing more is sent to the client.
-    sending_ended: Cell<bool>,
-    /// Since when it may have waited in the listen queue, where the node accepted nobody for a time.
+    /// Whether the sending side has been shut down.
+    write_closed: Cell<bool>,
+    /// Start of the pause in accepting, if there was one: the client may have waited in the listen
+    /// queue since then.
     accept_paused_since: Option<Time>,
     wake: Notify,
 }
@@ -79,22 +81,22 @@
         Client {
             stream,
             outgoing: RefCell::default(),
-            first_written: Cell::new(0),
-            close_after_quiet: Cell::new(None),
+            front_written: Cell::new(0),
+            close_after_quiet_period: Cell::new(None),
             draining: Cell::new(false),
             aborted: Cell::new(false),
-            sending_ended: Cell::new(false),
+            write_closed: Cell::new(false),
             accept_paused_since,
             wake: Notify::new(),
         }
     }
 
-    /// Ready once the client has closed its side, also where that lies behind bytes that nobody reads.
+    /// Waits until the client has closed its side, even if unread bytes precede its FIN.
     async fn disconnected(&self) {
         let _ = self.stream.ready(Interest::PRIORITY).await;
     }
 
-    /// Whether the runtime has been told that the client has closed its side.
+    /// Whether the runtime has already seen that the client has closed its side.
     async fn disconnect_reported(&self) -> bool {
         tokio::select! {
             biased;
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Whether there is something that the socket could take now.
+    /// Whether there are bytes that could be written to the socket now.
     fn has_writable_bytes(&self) -> bool {
         match self.outgoing.borrow().front() {
             Some(Outgoing::Bytes { .. }) => true,
@@ -112,33 +114,35 @@
         }
     }
 
-    /// How many items the socket has not taken to their end.
+    /// Number of items that are not completely written.
     fn unwritten(&self) -> usize {
         self.outgoing.borrow().len()
     }
 
-    /// Whether a value that comes by an upstream is among what the socket has not taken.
+    /// Whether a streamed value is among the unwritten items.
     fn has_streamed_item(&self) -> bool {
         let is_streamed = |item: &Outgoing| matches!(item, Outgoing::Streamed(_));
         self.outgoing.borrow().iter().any(is_streamed)
     }
 
-    /// Whether responses wait for the end of the connection, which comes as soon as none is owed. Guards against a client
-    /// whose next command always comes in time, as it answers each response with one.
-    fn holds_responses(&self) -> bool {
-        self.close_after_quiet.get() == Some(Span::ZERO)
+    /// Whether responses are deferred until the connection is closed, which happens as soon as no
+    /// call awaits a response. Written at once, each response would trigger the next command of a
+    /// client that sends commands back to back, and its connection could never be closed.
+    fn defers_responses(&self) -> bool {
+        self.close_after_quiet_period.get() == Some(Span::ZERO)
     }
 
-    /// Ends the sending: the client sees the end behind its last response.
-    fn end_sending(&self) {
+    /// Shuts down the sending side: the client reads end-of-file after its last response.
+    fn shutdown_write(&self) {
         let socket = socket2::SockRef::from(&self.stream);
         if socket.shutdown(Shutdown::Write).is_err() {
             self.aborted.set(true);
         }
-        self.sending_ended.set(true);
+        self.write_closed.set(true);
     }
 
-    /// Writes what the socket takes; gives the counted size of responses that are now written to their end.
+    /// Writes as much as the socket accepts. Returns the counted size of the responses that are now
+    /// completely written.
     fn flush(&self, mode: WriteMode) -> usize {
         let mut outgoing = self.outgoing.borrow_mut();
         let mut written_size = 0;
@@ -149,7 +153,7 @@
                         written_size += counted_size;
                     }
                     outgoing.pop_front();
-                    self.first_written.set(0);
+                    self.front_written.set(0);
                 }
                 Ok(WriteProgress::Partial) => {}
                 Ok(WriteProgress::AwaitsUpstream) => break,
@@ -176,12 +180,12 @@
                 })
             }
         };
-        let unwritten = &bytes[self.first_written.get()..];
+        let unwritten = &bytes[self.front_written.get()..];
         let count = retry_interrupted(|| self.write_bytes(unwritten, mode))?;
         if count == 0 {
             return Err(io::ErrorKind::WriteZero.into());
         }
-        self.first_written.set(self.first_written.get() + count);
+        self.front_written.set(self.front_written.get() + count);
         Ok(if count == unwritten.len() {
             WriteProgress::Complete
         } else {
@@ -191,8 +195,8 @@
 
     fn write_bytes(&self, bytes: &[u8], mode: WriteMode) -> io::Result<usize> {
         match mode {
-            WriteMode::AtOnce => self.stream.try_write(bytes),
-            WriteMode::WithEnd => self.stream.try_io(Interest::WRITABLE, || {
+            WriteMode::Immediate => self.stream.try_write(bytes),
+            WriteMode::WithFin => self.stream.try_io(Interest::WRITABLE, || {
                 socket2::SockRef::from(&self.stream).send_with_flags(bytes, libc::MSG_MORE)
             }),
         }
@@ -214,7 +218,7 @@
         let queued = !self.outgoing.borrow().is_empty();
         let counted_size = response.size();
         if let (Response::Streamed { .. }, None) = (&response, &upstream) {
-            // The upstream has been closed: only a close tells the client.
+            // The upstream has been closed: only an abort can tell the client.
             self.abort();
             return 0;
         }
@@ -231,32 +235,32 @@
             });
         }
         drop(outgoing);
-        // The task may have to write the rest, read on, or close.
+        // The connection's task may have to write the rest, read more, or close.
         self.wake.notify_one();
-        if queued || self.holds_responses() {
+        if queued || self.defers_responses() {
             0
         } else {
-            self.flush(WriteMode::AtOnce)
+            self.flush(WriteMode::Immediate)
         }
     }
 
-    fn close_after_quiet(&self, quiet: Span) {
-        let quiet = if self.draining.get() {
+    fn close_after_quiet_period(&self, quiet_period: Span) {
+        let quiet_period = if self.draining.get() {
             Span::ZERO
         } else {
-            quiet
+            quiet_period
         };
-        self.close_after_quiet.set(Some(quiet));
+        self.close_after_quiet_period.set(Some(quiet_period));
         self.wake.notify_one();
     }
 
     fn drain(&self) {
         self.draining.set(true);
-        self.close_after_quiet(Span::ZERO);
+        self.close_after_quiet_period(Span::ZERO);
     }
 
-    fn has_ended(&self) -> bool {
-        self.sending_ended.get()
+    fn is_write_closed(&self) -> bool {
+        self.write_closed.get()
     }
 
     fn abort(&self) {
--- a/crates/node/src/clients/reading.rs
+++ b/crates/node/src/clients/reading.rs
@@ -1,4 +1,4 @@
-//! Reading from a client, and the memory for its large commands.
+//! Reads from a client, and reserves memory for its large commands.
 use std::io;
 use std::ops::ControlFlow::{self, Break, Continue};
 
@@ -8,21 +8,21 @@
 use crate::resp;
 use crate::system::time_since_last_receive;
 
-/// A command with a large value that is on its way.
+/// A command with a large value that has been received in part.
 pub struct LargeCommand {
-    /// What the reservation holds for it.
+    /// Bytes reserved for it.
     pub size: usize,
     started_at: Time,
 }
 
 impl Connection<'_> {
-    /// Reads what has come; a large command gets its memory once its size is known.
+    /// Reads available bytes; reserves memory for a large command once its size is known.
     pub(super) async fn on_readable(&mut self, at_call_limit: bool) -> ControlFlow<()> {
-        // Guards against attempts for a client that has left: its end lies behind its command, and is read before that
-        // is taken.
+        // Reads up to the FIN, if there is one, before any command is taken: a client that has
+        // disconnected must not cause attempts.
         self.read_available()?;
         self.reserve_buffer();
-        // A large command that comes behind open calls is given its memory once it is next.
+        // A large command behind open calls gets its memory when it is next to be taken.
         if at_call_limit {
             return Continue(());
         }
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Gives a large command its memory, or rejects it.
+    /// Reserves the memory of a large command, or rejects the command.
     async fn admit_large_command(&mut self, size: usize) -> ControlFlow<()> {
         let executor = self.executor;
         let requested_at = executor.clock.now();
@@ -42,14 +42,15 @@
                 () = self.client.disconnected() => return Break(()),
             };
         if !admitted {
-            // It has not been taken: a retry does no harm.
+            // The command has not been taken, so that a retry is safe.
             self.reading = false;
             executor.report(|reducer, now| {
                 reducer.respond_and_close(now, self.id, b"-BUSY\r\n".to_vec())
             });
             return Continue(());
         }
-        self.arrivals.hold_back(executor.clock.now() - requested_at);
+        self.arrivals
+            .add_read_delay(executor.clock.now() - requested_at);
         self.buffer.reserve_total(size);
         let now = executor.clock.now();
         let large_command = self.large_command.get_or_insert(LargeCommand {
@@ -57,7 +58,8 @@
             started_at: now,
         });
         large_command.size = size;
-        // A large command that keeps coming is neither idle nor incomplete, for a bounded time.
+        // For a bounded time, a client that keeps sending a large command counts neither as idle
+        // nor as too slow.
         if now - large_command.started_at < executor.limits.large_command_timeout {
             self.last_active = now;
             self.partial_since = Some(now);
@@ -65,12 +67,12 @@
         Continue(())
     }
 
-    /// Reads what has come, as far as one command may reach; breaks if the client's end lies behind it.
+    /// Reads available bytes, up to about `read_bytes`; breaks if the client has disconnected.
     pub(super) fn read_available(&mut self) -> ControlFlow<()> {
         let stream = &self.client.stream;
         let read_bytes = self.executor.limits.read_bytes;
-        let most = self.buffer.unread().len() + read_bytes;
-        while self.buffer.unread().len() < most {
+        let max_unread = self.buffer.unread().len() + read_bytes;
+        while self.buffer.unread().len() < max_unread {
             match self.buffer.read(stream, read_bytes) {
                 Ok(0) => return Break(()),
                 Ok(count) => {
--- a/crates/node/src/effects.rs
+++ b/crates/node/src/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out what the reducer asks for, on the sockets, and brings it their reports.
+//! Performs the reducer's effects on the sockets and reports socket events to the reducer.
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,53 +13,54 @@
 use crate::reducer::{shrink, Reducer};
 use crate::upstreams::{self, Downstream, Protocol, Upstream, WriteResult};
 
-/// What the executor needs of a client's connection.
+/// A client's connection, as the executor uses it.
 pub trait ClientHandle: Downstream {
-    /// Writes a response, or queues it behind others; gives the counted size of those that are now written to their end.
-    /// `upstream`: where the value of a streamed one comes by.
+    /// Writes a response, or queues it behind others. Returns the counted size of all responses
+    /// that are now completely written. `upstream` carries the value of a streamed response.
     fn send(&self, response: Response, upstream: Option<Rc<Upstream>>) -> usize;
 
-    /// Closes the connection once its responses are written and nothing has come for so long.
-    fn close_after_quiet(&self, quiet: Span);
+    /// Closes the connection once its responses are written and no bytes have arrived for
+    /// `quiet_period`.
+    fn close_after_quiet_period(&self, quiet_period: Span);
 
-    /// Closes the connection once its responses are written, whatever may still come.
+    /// Closes the connection once its responses are written, even if the client sends more.
     fn drain(&self);
 
-    /// Whether the connection has been ended, so that no command on it is owed an answer any more.
-    fn has_ended(&self) -> bool;
+    /// Whether the sending side has been shut down, so that no command on it awaits a response.
+    fn is_write_closed(&self) -> bool;
 
-    /// Closes the connection now, so that the client can tell that a response is not complete.
+    /// Aborts the connection, which tells the client that a response is incomplete.
     fn abort(&self);
 }
 
-/// What the tasks of a node share; all of them run on one thread.
+/// State shared by all tasks of a node, which run on one thread.
 pub struct EffectExecutor {
     reducer: RefCell<Reducer>,
-    /// The clients that are connected.
+    /// Connected clients.
     pub clients: RefCell<FxHashMap<ClientId, Rc<dyn ClientHandle>>>,
     upstreams: RefCell<FxHashMap<UpstreamId, Rc<Upstream>>>,
     /// The node's clock.
     pub clock: Clock,
     wall_clock: RefCell<WallClock>,
-    /// The limits that the process started with.
+    /// The limits with which the process started.
     pub limits: Limits,
-    /// The first due time has changed.
+    /// Notified when the reducer's next timer is earlier than before.
     pub timer_changed: Notify,
-    /// A client's connection has ended.
+    /// Notified when a client's connection has ended.
     pub client_closed: Notify,
-    /// Discovery has sent something complete: a list, or that nothing has changed.
-    discovery_heard: Cell<bool>,
+    /// Whether discovery has sent a complete watch event: an endpoint list, or a keep-alive.
+    discovery_event_received: Cell<bool>,
     discovery_updated: Notify,
-    /// Bytes that clients' buffers and large responses take together, or have been promised.
+    /// Bytes used by or reserved for clients' buffers and large responses, in all.
     pub client_buffer_bytes: Cell<usize>,
-    /// Some of what is buffered has been freed.
+    /// Notified when buffered bytes have been freed.
     pub capacity_freed: Notify,
-    /// Where bytes are read to that nobody wants.
+    /// Scratch buffer for bytes that are read only to be discarded.
     pub discard_buffer: RefCell<Vec<u8>>,
 }
 
 impl EffectExecutor {
-    /// An executor without connections.
+    /// Creates an executor without connections.
     pub fn new(reducer: Reducer, limits: Limits, clock: Clock) -> Rc<EffectExecutor> {
         let discard_bytes = limits.read_bytes;
         Rc::new(EffectExecutor {
@@ -71,7 +72,7 @@
             limits,
             timer_changed: Notify::new(),
             client_closed: Notify::new(),
-            discovery_heard: Cell::new(false),
+            discovery_event_received: Cell::new(false),
             discovery_updated: Notify::new(),
             client_buffer_bytes: Cell::new(0),
             capacity_freed: Notify::new(),
@@ -79,37 +80,39 @@
         })
     }
 
-    /// Notes what the wall clock shows; to be called often enough that few servers start between two of its steps.
+    /// Samples the wall clock. Servers report their start in wall-clock time, so this has to be
+    /// called often enough that few of them start between two steps of that clock.
     pub fn sample_wall_clock(&self) {
         self.wall_clock
             .borrow_mut()
             .sample(self.clock.now(), unix_ms());
     }
 
-    /// When a server started that says so in Unix time; none for long ago.
+    /// Converts a server's start time from Unix time to the node's clock; `None` for a server that
+    /// started long ago.
     pub fn server_start_time(&self, now: Time, unix_ms: Option<f64>) -> Option<Time> {
         self.wall_clock.borrow().server_start_time(now, unix_ms)
     }
 
-    /// Discovery has sent something complete.
+    /// Records that discovery has sent a complete watch event.
     pub fn on_discovery_update(&self) {
-        self.discovery_heard.set(true);
+        self.discovery_event_received.set(true);
         self.discovery_updated.notify_one();
     }
 
-    /// Ready once discovery has sent something complete since the start.
+    /// Waits until discovery has sent its first complete watch event since the process started.
     pub async fn wait_for_first_discovery_update(&self) {
-        while !self.discovery_heard.get() {
+        while !self.discovery_event_received.get() {
             self.discovery_updated.notified().await;
         }
     }
 
     /// Reads the reducer's state.
-    pub fn query<T>(&self, question: impl FnOnce(&Reducer) -> T) -> T {
-        question(&self.reducer.borrow())
+    pub fn query<T>(&self, read: impl FnOnce(&Reducer) -> T) -> T {
+        read(&self.reducer.borrow())
     }
 
-    /// Reports to the reducer and carries out the effects that it asks for.
+    /// Reports an event to the reducer and performs the effects that result.
     pub fn report<T>(self: &Rc<EffectExecutor>, report: impl FnOnce(&mut Reducer, Time) -> T) -> T {
         let timer_before = self.query(Reducer::next_timer);
         let buffered_before = self.query(Reducer::buffered_bytes);
@@ -150,16 +153,16 @@
                 upstream,
                 client,
                 request,
-                time_left: wait,
-            } => self.write(upstream, client, &request, wait),
+                time_left: remaining,
+            } => self.write(upstream, client, &request, remaining),
             Effect::CloseUpstream { upstream } => self.close_upstream(upstream),
             Effect::Respond { client, response } => self.respond(client, response),
             Effect::CloseClient {
                 client,
-                after_silence: quiet,
+                after_silence: quiet_period,
             } => {
                 if let Some(client) = self.clients.borrow().get(&client) {
-                    client.close_after_quiet(quiet);
+                    client.close_after_quiet_period(quiet_period);
                 }
             }
             Effect::DrainClient { client } => {
@@ -196,20 +199,21 @@
         self.reducer.borrow_mut().on_delivered(id, written);
     }
 
-    /// Writes an attempt, unless its client has left by now. Guards against a process that was held up since the decision.
-    fn write(&self, id: UpstreamId, client: ClientId, request: &Request, wait: Span) {
+    /// Writes an attempt, unless its client has disconnected. The client may have done so since the
+    /// reducer's decision, if the process has stalled in between.
+    fn write(&self, id: UpstreamId, client: ClientId, request: &Request, time_left: Span) {
         let Some(upstream) = self.upstreams.borrow().get(&id).cloned() else {
             return;
         };
         let requester = self.clients.borrow().get(&client).cloned();
-        let result = requester.map_or(WriteResult::ClientGone, |requester| {
-            upstream.write(request, wait, requester)
+        let result = requester.map_or(WriteResult::ClientDisconnected, |requester| {
+            upstream.write(request, time_left, requester)
         });
         let mut reducer = self.reducer.borrow_mut();
         match result {
             WriteResult::Complete => reducer.on_written(id),
             WriteResult::Partial => {}
-            WriteResult::ClientGone => reducer.on_write_skipped(self.clock.now(), id),
+            WriteResult::ClientDisconnected => reducer.on_write_skipped(self.clock.now(), id),
             WriteResult::ConnectionBroken => {
                 reducer.on_connection_broken(self.clock.now(), id);
                 drop(reducer);
@@ -218,14 +222,14 @@
         }
     }
 
-    /// Forgets a client whose connection has ended.
+    /// Removes a client whose connection has ended.
     pub fn drop_client(&self, client: ClientId) {
         let mut clients = self.clients.borrow_mut();
         clients.remove(&client);
         shrink(&mut clients);
     }
 
-    /// Closes the connection to a server.
+    /// Closes and removes a connection to a server.
     pub fn close_upstream(&self, upstream: UpstreamId) {
         let mut upstreams = self.upstreams.borrow_mut();
         if let Some(upstream) = upstreams.remove(&upstream) {
@@ -235,7 +239,7 @@
     }
 }
 
-/// Wakes the reducer when something is due.
+/// Runs the reducer's timers when they are due.
 pub async fn timer(executor: Rc<EffectExecutor>) {
     loop {
         let due = executor.query(Reducer::next_timer);
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -192,7 +192,7 @@
         let clients = self.executor.clients.borrow();
         clients
             .values()
-            .filter(|client| !client.has_ended())
+            .filter(|client| !client.is_write_closed())
             .count()
     }
 
--- a/crates/node/src/upstreams.rs
+++ b/crates/node/src/upstreams.rs
@@ -84,7 +84,7 @@
     /// The rest is written once the socket takes it.
     Partial,
     /// Its client has left; no more of it is written.
-    ClientGone,
+    ClientDisconnected,
     /// The connection is of no further use.
     ConnectionBroken,
 }
@@ -181,7 +181,7 @@
             .as_ref()
             .is_some_and(|requester| requester.has_disconnected());
         if client_gone {
-            return WriteResult::ClientGone;
+            return WriteResult::ClientDisconnected;
         }
         match self.flush() {
             Ok(true) => {
--- a/crates/node/src/upstreams/connection.rs
+++ b/crates/node/src/upstreams/connection.rs
@@ -107,7 +107,7 @@
     match upstream.continue_writing() {
         WriteResult::Complete => executor.report(|reducer, _| reducer.on_written(upstream.id)),
         WriteResult::Partial => {}
-        WriteResult::ClientGone => {
+        WriteResult::ClientDisconnected => {
             executor.report(|reducer, now| reducer.on_write_skipped(now, upstream.id))
         }
         WriteResult::ConnectionBroken => return Break(()),
