--- a/crates/node/src/attempt_response.rs
+++ b/crates/node/src/attempt_response.rs
@@ -1,13 +1,13 @@
-//! What a server's reply makes of an attempt, whatever the protocol.
+//! Responses to attempts, independent of the server's protocol.
 use quartzhub_policy::Outcome;
 
-/// How a server ended an attempt.
+/// A server's response to an attempt.
 #[derive(Debug, PartialEq)]
 pub struct AttemptResponse {
-    /// What became of the attempt.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// The value or the write's receipt.
+    /// The value of a read or the receipt of a write.
     pub value: Option<Vec<u8>>,
-    /// The connection may carry another attempt.
+    /// Whether the connection may carry another attempt.
     pub reusable: bool,
 }
--- a/crates/node/src/buffer.rs
+++ b/crates/node/src/buffer.rs
@@ -1,4 +1,4 @@
-//! A connection's buffer: grows as needed, and is compacted in place.
+//! Byte buffer of a connection: grows on demand and is compacted in place.
 use std::io;
 
 use bytes::Bytes;
@@ -6,11 +6,11 @@
 
 use crate::system::retry_interrupted;
 
-/// Bytes that were read and not consumed yet, or that are still to be written.
+/// Bytes that are read but not consumed yet, or that are to be written.
 #[derive(Default)]
 pub struct Buffer {
     bytes: Vec<u8>,
-    /// What stands before this has been consumed.
+    /// Index of the first byte that is not consumed.
     start: usize,
 }
 
@@ -25,7 +25,7 @@
         self.start == self.bytes.len()
     }
 
-    /// Bytes of memory that it takes.
+    /// Allocated memory in bytes.
     pub fn capacity(&self) -> usize {
         self.bytes.capacity()
     }
@@ -36,7 +36,7 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Drops the first bytes.
+    /// Removes the first `count` bytes.
     pub fn consume(&mut self, count: usize) {
         self.start = (self.start + count).min(self.bytes.len());
         if self.is_empty() {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Takes the first bytes out without copying them, for what is large.
+    /// Removes and returns the first `count` bytes without copying them, for large values.
     pub fn take(&mut self, count: usize) -> Bytes {
         let start = std::mem::take(&mut self.start);
         let mut bytes = std::mem::take(&mut self.bytes);
@@ -52,23 +52,23 @@
         Bytes::from(bytes).slice(start..)
     }
 
-    /// Makes room for so many bytes in all, those that it has included.
+    /// Reserves capacity for `count` bytes in total, unread ones included.
     pub fn reserve_total(&mut self, count: usize) {
         self.compact();
         self.bytes
             .reserve_exact(count.saturating_sub(self.bytes.len()));
     }
 
-    /// Drops all bytes.
+    /// Discards all bytes.
     pub fn clear(&mut self) {
         self.bytes.clear();
         self.start = 0;
     }
 
-    /// Frees memory beyond so many bytes, if the buffer is empty.
-    pub fn shrink(&mut self, kept: usize) {
-        if self.is_empty() && self.bytes.capacity() > kept {
-            self.bytes.shrink_to(kept);
+    /// Frees memory beyond `max_capacity` bytes if the buffer is empty.
+    pub fn shrink(&mut self, max_capacity: usize) {
+        if self.is_empty() && self.bytes.capacity() > max_capacity {
+            self.bytes.shrink_to(max_capacity);
         }
     }
 
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Reads what the socket has, about `count` bytes at the most; 0 is its end.
+    /// Reads available bytes, at most about `count`. Returns the number read; 0 means end-of-file.
     pub fn read(&mut self, stream: &TcpStream, count: usize) -> io::Result<usize> {
         if self.bytes.capacity() - self.bytes.len() < count / 4 {
             self.compact();
@@ -89,7 +89,7 @@
         retry_interrupted(|| stream.try_read_buf(&mut self.bytes))
     }
 
-    /// Writes what the socket takes, and consumes it.
+    /// Writes and consumes as much as the socket accepts.
     pub fn write(&mut self, stream: &TcpStream) -> io::Result<()> {
         while !self.is_empty() {
             match retry_interrupted(|| stream.try_write(self.unread())) {
@@ -103,7 +103,8 @@
     }
 }
 
-/// Whether a connection is open with nothing to read on it, as the socket itself has it: tokio tells later.
+/// Whether a connection is open and has no bytes to read. Asks the kernel, as tokio may not have
+/// seen an event yet.
 pub fn is_open_and_idle(stream: &TcpStream) -> bool {
     let socket = socket2::SockRef::from(stream);
     let peeked = retry_interrupted(|| socket.peek(&mut [std::mem::MaybeUninit::uninit()]));
--- a/crates/node/src/buffer/tests.rs
+++ b/crates/node/src/buffer/tests.rs
@@ -1,8 +1,8 @@
-//! Consuming and appending.
+//! Consuming, appending and compaction.
 use super::Buffer;
 
 #[test]
-fn moves_what_is_left_to_the_front() {
+fn unread_bytes_move_to_the_front_on_append() {
     let mut buffer = Buffer::default();
     buffer.put(b"abcdef");
     buffer.consume(4);
--- a/crates/node/src/caches.rs
+++ b/crates/node/src/caches.rs
@@ -1,4 +1,4 @@
-//! Requests to cache servers, over RESP, and what their replies mean.
+//! Encodes requests to cache servers and parses their replies, in RESP.
 use quartzhub_policy::{Outcome, Span};
 
 use crate::attempt_response::AttemptResponse;
@@ -6,19 +6,19 @@
 use crate::messages::Request;
 use crate::resp::{self, is_large_value, Parsed, Reply};
 
-/// A value too large to be buffered, in the bytes of a response.
+/// Position of a value that is too large to be buffered, in the bytes of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LargeValue {
-    /// Where it begins.
+    /// Offset of its first byte.
     pub offset: usize,
     /// Its length in bytes.
     pub size: usize,
 }
 
-/// The command for a cache server: as the client sent it, but with the time that the node will wait. A value and
-/// its end follow behind it.
-pub fn encode_request(request: &Request, wait: Span) -> Vec<u8> {
-    let attributes = request.attributes_with_time_left(wait);
+/// Encodes a request to a cache server: the client's command, with the attempt's remaining time.
+/// The value and its terminator are written after it.
+pub fn encode_request(request: &Request, time_left: Span) -> Vec<u8> {
+    let attributes = request.attributes_with_time_left(time_left);
     let (name, count) = if request.value.is_some() {
         ("OBJ.SET", 5)
     } else {
@@ -34,7 +34,7 @@
     out
 }
 
-/// Finds a value too large to be buffered in a reply; it ends in `VALUE_TERMINATOR`.
+/// Finds a value that is too large to be buffered in a reply; `VALUE_TERMINATOR` follows it.
 pub fn large_value(bytes: &[u8], limits: &Limits) -> Option<LargeValue> {
     let Parsed::Complete(3, head) = resp::array_header(bytes) else {
         return None;
@@ -51,10 +51,11 @@
     })
 }
 
-/// What stands behind a value.
+/// Terminator after the bytes of a value.
 pub const VALUE_TERMINATOR: &[u8] = b"\r\n";
 
-/// Whether what stands behind a value and its terminator ends the reply as it should.
+/// Whether the bytes after a value and its terminator are a well-formed end of the reply: the
+/// status and the load report, and nothing more.
 pub fn is_valid_trailer(bytes: &[u8], limits: &Limits) -> bool {
     let Parsed::Complete(_, status_length) = bulk_string(bytes, limits) else {
         return false;
@@ -63,10 +64,10 @@
     matches!(load_report, Parsed::Complete(_, length) if status_length + length == bytes.len())
 }
 
-/// A reply that is a bulk string, or nil.
+/// Parses a reply that has to be a bulk string or nil.
 fn bulk_string<'a>(bytes: &'a [u8], limits: &Limits) -> Parsed<Option<&'a [u8]>> {
     match resp::reply(bytes, limits) {
-        // No other reply is waited for.
+        // Any other reply is malformed from its first byte on.
         _ if bytes.first().is_some_and(|first| *first != b'$') => Parsed::Malformed,
         Parsed::Complete(Reply::Bulk(bulk), length) => Parsed::Complete(bulk, length),
         Parsed::Incomplete => Parsed::Incomplete,
@@ -74,27 +75,26 @@
     }
 }
 
-/// A reply. Served and missed API calls get an array of the value, a word on how it went, and a load report.
-/// Guards against taking for the value what a malformed reply has in its place: all but the report must be as a
-/// server makes it.
+/// Parses a reply. Hits and misses are arrays of the value, a status word and a load report. Value
+/// and status have to be well-formed, so that no bytes of a malformed reply are taken for a value.
 pub fn parse_response(bytes: &[u8], limits: &Limits) -> Parsed<AttemptResponse> {
     if bytes.first() != Some(&b'*') {
         return parse_simple_reply(bytes, limits);
     }
-    let (value, mut used) = match value_and_status(bytes, limits) {
-        Parsed::Complete(value, used) => (value, used),
+    let (value, mut consumed) = match value_and_status(bytes, limits) {
+        Parsed::Complete(value, consumed) => (value, consumed),
         Parsed::Incomplete => return Parsed::Incomplete,
         Parsed::Malformed => return Parsed::Malformed,
     };
-    // Guards against losing a good value for a load report that can't be read or does not end: only the
-    // connection is given up.
-    let reusable = match resp::reply(&bytes[used..], limits) {
+    // A malformed or incomplete load report does not invalidate the value: only the connection is
+    // not reused.
+    let reusable = match resp::reply(&bytes[consumed..], limits) {
         Parsed::Complete(Reply::Bulk(_), length) => {
-            used += length;
-            used == bytes.len()
+            consumed += length;
+            consumed == bytes.len()
         }
         _ => {
-            used = bytes.len();
+            consumed = bytes.len();
             false
         }
     };
@@ -110,23 +110,24 @@
             value,
             reusable,
         },
-        used,
+        consumed,
     )
 }
 
-/// The value of an array reply, whose status must be well-formed; its length is up to the load report.
+/// Parses the value and checks the status of an array reply. The parsed length ends before the load
+/// report.
 fn value_and_status<'a>(bytes: &'a [u8], limits: &Limits) -> Parsed<Option<&'a [u8]>> {
-    let mut used = match resp::array_header(bytes) {
-        Parsed::Complete(3, used) => used,
+    let mut consumed = match resp::array_header(bytes) {
+        Parsed::Complete(3, consumed) => consumed,
         Parsed::Incomplete => return Parsed::Incomplete,
         _ => return Parsed::Malformed,
     };
     let mut texts = [None; 2];
     for text in &mut texts {
-        match bulk_string(&bytes[used..], limits) {
+        match bulk_string(&bytes[consumed..], limits) {
             Parsed::Complete(bulk, length) => {
                 *text = bulk;
-                used += length;
+                consumed += length;
             }
             Parsed::Incomplete => return Parsed::Incomplete,
             Parsed::Malformed => return Parsed::Malformed,
@@ -136,22 +137,22 @@
     if status.is_some_and(|status| !is_plain_status(status, limits)) {
         return Parsed::Malformed;
     }
-    Parsed::Complete(value, used)
+    Parsed::Complete(value, consumed)
 }
 
 fn is_plain_status(status: &[u8], limits: &Limits) -> bool {
     status.len() <= limits.reply_status_bytes && status.iter().all(u8::is_ascii_graphic)
 }
 
-/// A reply that is no array.
+/// Parses a reply that is not an array.
 fn parse_simple_reply(bytes: &[u8], limits: &Limits) -> Parsed<AttemptResponse> {
-    let (reply, used) = match resp::reply(bytes, limits) {
-        Parsed::Complete(reply, used) => (reply, used),
+    let (reply, consumed) = match resp::reply(bytes, limits) {
+        Parsed::Complete(reply, consumed) => (reply, consumed),
         Parsed::Incomplete => return Parsed::Incomplete,
         Parsed::Malformed => return Parsed::Malformed,
     };
     let outcome = match reply {
-        // Noise proves nothing.
+        // Random bytes are no proof of what the server did.
         Reply::Error(text) if !text.iter().all(|b| (b' '..=b'~').contains(b)) => {
             return Parsed::Malformed
         }
@@ -165,9 +166,9 @@
         AttemptResponse {
             outcome,
             value: None,
-            reusable: used == bytes.len(),
+            reusable: consumed == bytes.len(),
         },
-        used,
+        consumed,
     )
 }
 
--- a/crates/node/src/caches/tests.rs
+++ b/crates/node/src/caches/tests.rs
@@ -1,13 +1,13 @@
-//! Commands and replies of cache servers.
+//! Requests to cache servers and their replies.
 use super::*;
 use expect_test::expect;
 
 #[test]
-fn commands_go_on_unchanged_but_for_the_wait() {
-    let request = |value: Option<&[u8]>, facts: &str| Request {
+fn requests_keep_all_but_the_time_left() {
+    let request = |value: Option<&[u8]>, attributes: &str| Request {
         key: "7f3a".into(),
         id: "9b1f".into(),
-        attributes: facts.into(),
+        attributes: attributes.into(),
         value: value.map(bytes::Bytes::copy_from_slice),
     };
     let text = |request: Request| {
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn only_the_named_replies_prove_that_nothing_ran() {
+fn only_misses_and_busy_replies_prove_no_execution() {
     let limits = Limits::default();
     let replies: [&[u8]; 20] = [
         b"*3\r\n$2\r\nab\r\n$3\r\nhit\r\n$-1\r\n",
@@ -54,17 +54,17 @@
         b"*3\r\n$3000000000\r\nab",
         b"*3\r\n$9\r\nab\r\n$3\r\nhit\r\n$-1\r\n",
     ];
-    let told = replies.map(|reply| {
+    let outcomes = replies.map(|reply| {
         let text = reply.escape_ascii();
         match parse_response(reply, &limits) {
-            Parsed::Complete(answer, _) => {
-                let ran = if answer.outcome.proves_not_executed() {
+            Parsed::Complete(response, _) => {
+                let ran = if response.outcome.proves_not_executed() {
                     "never ran"
                 } else {
                     "may have run"
                 };
-                let upstream = if answer.reusable { "kept" } else { "closed" };
-                format!("{text}: {:?}, {ran}, {upstream}\n", answer.outcome)
+                let upstream = if response.reusable { "kept" } else { "closed" };
+                format!("{text}: {:?}, {ran}, {upstream}\n", response.outcome)
             }
             other => format!("{text}: {other:?}\n"),
         }
@@ -90,5 +90,5 @@
         *3\r\n$2\r\nab\r\n$3\r\nh\xfft\r\n$-1\r\n: Malformed
         *3\r\n$3000000000\r\nab: Malformed
         *3\r\n$9\r\nab\r\n$3\r\nhit\r\n$-1\r\n: Malformed
-    "#]].assert_eq(&told.concat());
+    "#]].assert_eq(&outcomes.concat());
 }
--- a/crates/node/src/clients/commands.rs
+++ b/crates/node/src/clients/commands.rs
@@ -84,12 +84,12 @@
     let limits = &executor.limits;
     let result = match resp::command(buffer.unread(), limits) {
         _ if buffer.is_empty() => TakeResult::Incomplete,
-        Parsed::Complete(words, used) => {
+        Parsed::Complete(words, consumed) => {
             let is_quit = words
                 .first()
                 .is_some_and(|name| name.eq_ignore_ascii_case(b"QUIT"));
-            let received_at = arrivals.take(used);
-            if used <= limits.buffered_value_bytes {
+            let received_at = arrivals.take(consumed);
+            if consumed <= limits.buffered_value_bytes {
                 let command = ReceivedCommand {
                     words: &words,
                     received_at,
@@ -97,10 +97,10 @@
                 executor.report(|reducer, now| {
                     dispatch(reducer, now, id, &command, Bytes::copy_from_slice, limits)
                 });
-                buffer.consume(used);
+                buffer.consume(consumed);
             } else {
                 drop(words);
-                dispatch_large(executor, id, buffer.take(used), received_at);
+                dispatch_large(executor, id, buffer.take(consumed), received_at);
             }
             after_command(executor, id, is_quit)
         }
--- a/crates/node/src/http.rs
+++ b/crates/node/src/http.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 responses, read with winnow: a head, then a body of known length, in chunks, or to the end.
+//! Parses HTTP/1.1 responses with winnow: a head, then a body that is delimited by its length, by
+//! chunks, or by the end of the connection.
 use winnow::ascii::{dec_uint, hex_uint, space0};
 use winnow::combinator::{delimited, fail, opt, preceded, repeat, terminated};
 use winnow::prelude::*;
@@ -10,27 +11,27 @@
 
 type Input<'a> = Partial<&'a [u8]>;
 
-/// How long a body is.
+/// How the length of a body is determined.
 #[derive(Debug, PartialEq, Clone, Copy)]
 pub enum Body {
-    /// So many bytes.
+    /// By a length in bytes.
     ContentLength(usize),
-    /// In chunks, up to an empty one.
+    /// By chunks, of which the last is empty.
     Chunked,
-    /// Up to the end of the connection.
+    /// By the end of the connection.
     UntilClose,
 }
 
-/// The head of a response, as far as the node needs it.
+/// The parts of a response's head that the node uses.
 #[derive(Debug, PartialEq, Clone, Copy)]
 pub struct Head {
     /// The status code.
     pub status: u16,
     /// The body that follows.
     pub body: Body,
-    /// The connection may carry another exchange.
+    /// Whether the connection may carry another request.
     pub keep_alive: bool,
-    /// The server says that the API call never ran.
+    /// Whether the server states that it has not executed the API call (`X-Unprocessed: 1`).
     pub unprocessed: bool,
 }
 
@@ -99,12 +100,12 @@
     })
 }
 
-/// How long the body behind these fields is; none if they contradict each other or give no number.
+/// Determines the body's length; `None` if the header fields are contradictory or invalid.
 fn body_length(fields: &HeaderFields, status: u16) -> Option<Body> {
     let chunked = fields.first_is(b"Transfer-Encoding", b"chunked");
     let mut lengths = fields.values(b"Content-Length");
     let length = lengths.next();
-    // Guards against a response that tells two lengths: one of them is wrong.
+    // With two lengths one is wrong, and the start of the next response would be misread.
     if lengths.any(|other| Some(other) != length) || length.is_some() && chunked {
         return None;
     }
@@ -123,29 +124,29 @@
     std::str::from_utf8(text).ok()?.parse().ok()
 }
 
-/// The head of the final response: 1xx responses ahead of it are skipped.
+/// Parses the head of the final HTTP response; skips 1xx responses before it.
 pub fn head(bytes: &[u8], limits: &Limits) -> Parsed<Head> {
-    let mut used = 0;
+    let mut consumed = 0;
     for _ in 0..=limits.http_interim_responses {
-        match parsed(&bytes[used..], |input: &mut Input| {
+        match parsed(&bytes[consumed..], |input: &mut Input| {
             parse_head(input, limits.http_header_fields)
         }) {
-            Parsed::Complete(head, count) if (100..200).contains(&head.status) => used += count,
-            Parsed::Complete(head, count) => return Parsed::Complete(head, used + count),
-            // Guards against waiting for the end of a head without end.
-            Parsed::Incomplete if bytes.len() - used > limits.http_head_bytes => break,
+            Parsed::Complete(head, count) if (100..200).contains(&head.status) => consumed += count,
+            Parsed::Complete(head, count) => return Parsed::Complete(head, consumed + count),
+            // A head without end must not be awaited forever.
+            Parsed::Incomplete if bytes.len() - consumed > limits.http_head_bytes => break,
             other => return other,
         }
     }
     Parsed::Malformed
 }
 
-/// One chunk; an empty one is the last, and the fields that may stand behind it go with it.
-pub fn chunk<'a>(bytes: &'a [u8], most: usize, limits: &Limits) -> Parsed<&'a [u8]> {
+/// Parses one chunk. An empty chunk is the last; trailer fields after it are consumed with it.
+pub fn chunk<'a>(bytes: &'a [u8], max_bytes: usize, limits: &Limits) -> Parsed<&'a [u8]> {
     parsed(bytes, |input: &mut Input<'a>| {
         let count = terminated(hex_uint::<_, u32, _>, (text, line_end)).parse_next(input)? as usize;
-        // Guards against waiting for the end of fields without end.
-        if count > most || count == 0 && input.len() > limits.http_head_bytes {
+        // Trailer fields without end must not be awaited forever.
+        if count > max_bytes || count == 0 && input.len() > limits.http_head_bytes {
             return fail.parse_next(input);
         }
         if count == 0 {
@@ -156,45 +157,46 @@
     })
 }
 
-/// A complete response with its body of so many bytes at the most; `ended`: nothing more will come.
+/// Parses a complete response with a body of up to `max_body_bytes`; `at_eof` means that no more
+/// bytes will arrive.
 pub fn parse_response(
     bytes: &[u8],
-    most: usize,
-    ended: bool,
+    max_body_bytes: usize,
+    at_eof: bool,
     limits: &Limits,
 ) -> Parsed<(Head, Vec<u8>)> {
-    let (head, used) = match head(bytes, limits) {
-        Parsed::Complete(head, used) => (head, used),
+    let (head, consumed) = match head(bytes, limits) {
+        Parsed::Complete(head, consumed) => (head, consumed),
         Parsed::Incomplete => return Parsed::Incomplete,
         Parsed::Malformed => return Parsed::Malformed,
     };
-    let rest = &bytes[used..];
+    let rest = &bytes[consumed..];
     match head.body {
-        Body::ContentLength(count) if count > most => Parsed::Malformed,
+        Body::ContentLength(count) if count > max_body_bytes => Parsed::Malformed,
         Body::ContentLength(count) if rest.len() < count => Parsed::Incomplete,
         Body::ContentLength(count) => {
-            Parsed::Complete((head, rest[..count].to_vec()), used + count)
+            Parsed::Complete((head, rest[..count].to_vec()), consumed + count)
         }
-        Body::UntilClose if rest.len() > most => Parsed::Malformed,
-        Body::UntilClose if ended => Parsed::Complete((head, rest.to_vec()), bytes.len()),
+        Body::UntilClose if rest.len() > max_body_bytes => Parsed::Malformed,
+        Body::UntilClose if at_eof => Parsed::Complete((head, rest.to_vec()), bytes.len()),
         Body::UntilClose => Parsed::Incomplete,
-        Body::Chunked => match chunked_body(rest, most, limits) {
-            Parsed::Complete(body, count) => Parsed::Complete((head, body), used + count),
+        Body::Chunked => match chunked_body(rest, max_body_bytes, limits) {
+            Parsed::Complete(body, count) => Parsed::Complete((head, body), consumed + count),
             Parsed::Incomplete => Parsed::Incomplete,
             Parsed::Malformed => Parsed::Malformed,
         },
     }
 }
 
-fn chunked_body(bytes: &[u8], most: usize, limits: &Limits) -> Parsed<Vec<u8>> {
+fn chunked_body(bytes: &[u8], max_body_bytes: usize, limits: &Limits) -> Parsed<Vec<u8>> {
     let mut body = Vec::new();
-    let mut used = 0;
+    let mut consumed = 0;
     loop {
-        match chunk(&bytes[used..], most, limits) {
-            Parsed::Complete([], count) => return Parsed::Complete(body, used + count),
-            Parsed::Complete(chunk, count) if body.len() + chunk.len() <= most => {
+        match chunk(&bytes[consumed..], max_body_bytes, limits) {
+            Parsed::Complete([], count) => return Parsed::Complete(body, consumed + count),
+            Parsed::Complete(chunk, count) if body.len() + chunk.len() <= max_body_bytes => {
                 body.extend_from_slice(chunk);
-                used += count;
+                consumed += count;
             }
             Parsed::Incomplete => return Parsed::Incomplete,
             _ => return Parsed::Malformed,
--- a/crates/node/src/http/tests.rs
+++ b/crates/node/src/http/tests.rs
@@ -1,12 +1,12 @@
-//! HTTP answers, whole and broken.
+//! Complete, partial and malformed HTTP responses.
 use super::*;
 
 #[test]
-fn bodies_by_count_in_chunks_and_to_the_end() {
-    let counted = b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabcHTTP";
-    for cut in 0..counted.len() - 4 {
+fn bodies_are_delimited_by_length_chunks_or_eof() {
+    let sized = b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabcHTTP";
+    for cut in 0..sized.len() - 4 {
         assert_eq!(
-            parse_response(&counted[..cut], 9, false, &Limits::default()),
+            parse_response(&sized[..cut], 9, false, &Limits::default()),
             Parsed::Incomplete,
             "cut at {cut}"
         );
@@ -18,8 +18,8 @@
         unprocessed: false,
     };
     assert_eq!(
-        parse_response(counted, 9, false, &Limits::default()),
-        Parsed::Complete((head, b"abc".to_vec()), counted.len() - 4)
+        parse_response(sized, 9, false, &Limits::default()),
+        Parsed::Complete((head, b"abc".to_vec()), sized.len() - 4)
     );
     let chunked =
         b"HTTP/1.1 503 x\r\nTransfer-Encoding: chunked\r\nX-Unprocessed: 1\r\n\r\n2\r\nab\r\n0\r\n\r\n";
@@ -48,14 +48,14 @@
         keep_alive: true,
         unprocessed: true,
     };
-    let behind = [&interim[..], chunked].concat();
+    let after_interim = [&interim[..], chunked].concat();
     assert_eq!(
-        parse_response(&behind, 9, false, &Limits::default()),
-        Parsed::Complete((head, b"ab".to_vec()), behind.len())
+        parse_response(&after_interim, 9, false, &Limits::default()),
+        Parsed::Complete((head, b"ab".to_vec()), after_interim.len())
     );
-    let open = b"HTTP/1.0 200 OK\n\nab";
+    let until_close = b"HTTP/1.0 200 OK\n\nab";
     assert_eq!(
-        parse_response(open, 9, false, &Limits::default()),
+        parse_response(until_close, 9, false, &Limits::default()),
         Parsed::Incomplete
     );
     let head = Head {
@@ -65,13 +65,13 @@
         unprocessed: false,
     };
     assert_eq!(
-        parse_response(open, 9, true, &Limits::default()),
-        Parsed::Complete((head, b"ab".to_vec()), open.len())
+        parse_response(until_close, 9, true, &Limits::default()),
+        Parsed::Complete((head, b"ab".to_vec()), until_close.len())
     );
 }
 
 #[test]
-fn garbage_and_bodies_over_the_limit_are_broken() {
+fn garbage_and_oversized_bodies_are_malformed() {
     for bytes in [
         &b"+OK\r\n"[..],
         b"HTTP/1.1 20 OK\r\n\r\n",
@@ -94,13 +94,13 @@
 }
 
 #[test]
-fn fields_behind_the_last_chunk_belong_to_the_answer() {
+fn trailer_fields_belong_to_the_response() {
     let limits = Limits::default();
     let bytes =
         b"HTTP/1.1 200 \r\nTransfer-Encoding:  chunked \r\n\r\n00002;part=1\r\nab\r\nA\r\n0123456789\r\n\
         0\r\nX-Sum: 5f3a\r\nX-Done: 1\r\n\r\nHTTP";
-    let whole = bytes.len() - 4;
-    for cut in 0..whole {
+    let length = bytes.len() - 4;
+    for cut in 0..length {
         assert_eq!(
             parse_response(&bytes[..cut], 99, false, &limits),
             Parsed::Incomplete,
@@ -115,7 +115,7 @@
     };
     assert_eq!(
         parse_response(bytes, 99, false, &limits),
-        Parsed::Complete((head, b"ab0123456789".to_vec()), whole)
+        Parsed::Complete((head, b"ab0123456789".to_vec()), length)
     );
     let endless = [&b"0\r\n"[..], &b"X: y\r\n".repeat(9_999)].concat();
     for bytes in [
@@ -128,10 +128,11 @@
     }
 }
 
-/// Good messages with a few bytes changed, cut or doubled: any outcome is fine, a panic is not.
+/// Valid messages are changed, truncated or extended by a few bytes: any result but a panic is
+/// fine.
 #[test]
-fn no_bytes_make_a_parser_panic() {
-    let good: [&[u8]; 6] = [
+fn parsers_never_panic_on_mutated_messages() {
+    let valid: [&[u8]; 6] = [
         b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
         b"*4\r\n$7\r\nOBJ.GET\r\n$1\r\nk\r\n$2\r\nid\r\n$6\r\nc=read\r\n",
@@ -143,10 +144,10 @@
         value_bytes: 64,
         ..Limits::default()
     };
-    let mut chance = quartzhub_policy::Pcg::new(1);
-    let mut below = |most: usize| (chance.unit() * most as f64) as usize;
+    let mut rng = quartzhub_policy::Pcg::new(1);
+    let mut below = |limit: usize| (rng.unit() * limit as f64) as usize;
     for round in 0..60_000 {
-        let mut bytes = good[round % good.len()].to_vec();
+        let mut bytes = valid[round % valid.len()].to_vec();
         for _ in 0..1 + below(4) {
             let at = below(bytes.len());
             match below(4) {
--- a/crates/node/src/messages.rs
+++ b/crates/node/src/messages.rs
@@ -1,19 +1,19 @@
-//! Messages between the reducer and the sockets.
+//! Messages between the reducer and the socket tasks.
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use bytes::Bytes;
 use quartzhub_policy::Span;
 
-/// A client's connection.
+/// Identifies a client's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientId(pub u64);
 
-/// A connection to a server.
+/// Identifies a connection to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamId(pub u64);
 
-/// What the reducer has the sockets do. Effects are carried out in their order.
+/// An action that the reducer requests of the socket tasks. Effects are performed in order.
 #[derive(Debug)]
 pub enum Effect {
     /// Connect to a server.
@@ -25,15 +25,15 @@
         /// The server is the origin, not a cache.
         origin: bool,
     },
-    /// Write an attempt.
+    /// Write the request of an attempt.
     Write {
-        /// The connection that carries it.
+        /// The connection that carries the attempt.
         upstream: UpstreamId,
-        /// The client whose call it is.
+        /// The client that made the API call.
         client: ClientId,
-        /// The call.
+        /// The request, shared by all attempts of the call.
         request: Rc<Request>,
-        /// How long the server is told that the node will wait.
+        /// Remaining time of the attempt, as sent to the server.
         time_left: Span,
     },
     /// Close a connection to a server.
@@ -43,52 +43,53 @@
     },
     /// Send a response.
     Respond {
-        /// Who gets it.
+        /// The receiving client.
         client: ClientId,
-        /// What it gets.
+        /// The response.
         response: Response,
     },
-    /// Read nothing more from a client, and close its connection once it has its responses.
+    /// Stop reading from a client, and close its connection once its responses are written.
     DrainClient {
         /// The client.
         client: ClientId,
     },
-    /// Close a client's connection at once, as the response that it was getting can't be completed.
+    /// Abort a client's connection, as the response that is being written can't be completed.
     AbortClient {
         /// The client.
         client: ClientId,
     },
-    /// Close a client's connection once its responses are written and nothing has come from it for a time.
+    /// Close a client's connection once its responses are written and it has been silent for a
+    /// while.
     CloseClient {
         /// The client.
         client: ClientId,
-        /// For how long nothing has to come.
+        /// How long the client must have sent nothing.
         after_silence: Span,
     },
 }
 
-/// What a client gets, whatever its protocol.
+/// A response to a client, independent of the client's protocol.
 #[derive(Debug, PartialEq)]
 pub enum Response {
-    /// The value, or a write's receipt.
+    /// The value of a read, or the receipt of a write.
     Success(Vec<u8>),
-    /// A value that is streamed as it comes.
+    /// A value that is streamed to the client while it is received.
     Streamed {
-        /// The connection that it comes by.
+        /// The connection from which it is received.
         upstream: UpstreamId,
         /// Its length in bytes.
         size: usize,
     },
-    /// Not executed: a retry is harmless, after this wait.
+    /// The call was not executed: a retry is safe after this delay, if one is given.
     RateLimited(Option<Span>),
-    /// Failed; the call may have been executed.
+    /// The call failed; it may have been executed.
     Error(&'static str),
-    /// To a command that is no API call, in the form of its protocol.
+    /// Response to a command that is not an API call, already encoded.
     Plain(Vec<u8>),
 }
 
 impl Response {
-    /// Bytes that count as buffered until it is written.
+    /// Bytes that count as buffered until the response is written.
     pub fn size(&self) -> usize {
         match self {
             Response::Success(bytes) | Response::Plain(bytes) => bytes.len(),
@@ -100,58 +101,58 @@
 /// Whether there is capacity for one more client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcceptCapacity {
-    /// There is.
+    /// A client can be accepted now.
     Free,
-    /// There will be once the tasks have had their turn.
+    /// A client can be accepted after other tasks have run.
     Soon,
-    /// There is none until a connection ends.
+    /// No client can be accepted until a connection ends.
     None,
 }
 
-/// The words of an API call that go on to servers.
+/// The arguments of an API call, which are forwarded to servers.
 #[derive(Debug, Clone)]
 pub struct Request {
     /// The object's key.
     pub key: String,
     /// The call's id.
     pub id: String,
-    /// The list of names and values, as the client sent it.
+    /// The attribute list, as the client sent it.
     pub attributes: String,
-    /// The value of a write; none of a read.
+    /// The value of a write; `None` for a read.
     pub value: Option<Bytes>,
 }
 
 impl Request {
-    /// The list of names and values for a server: `d` is the time that is left at the write of this attempt, in place of
-    /// the client's own. Caches and the origin get the same list.
-    pub fn attributes_with_time_left(&self, wait: Span) -> String {
-        let wait = format!("d={}", (wait.as_ms() as i64).max(1));
+    /// The attribute list for a server: `d` is replaced by the time left, in ms, when this attempt
+    /// is written. Caches and the origin get the same list.
+    pub fn attributes_with_time_left(&self, time_left: Span) -> String {
+        let time_left = format!("d={}", (time_left.as_ms() as i64).max(1));
         let mut pairs: Vec<_> = self
             .attributes
             .split(',')
             .filter(|pair| !pair.is_empty())
             .collect();
         match pairs.iter_mut().find(|pair| pair.starts_with("d=")) {
-            Some(pair) => *pair = &wait,
-            None => pairs.push(&wait),
+            Some(pair) => *pair = &time_left,
+            None => pairs.push(&time_left),
         }
         pairs.join(",")
     }
 }
 
-/// What the node takes from a client's list of names and values.
+/// The attributes of an API call that the node itself uses.
 #[derive(Debug, Default, PartialEq)]
 pub struct RequestAttributes<'a> {
     /// Name of the product.
     pub product: Option<&'a str>,
     /// Name of the tenant.
     pub tenant: Option<&'a str>,
-    /// How long the client waits for its response.
+    /// Remaining time until the client's timeout, as the client sent it.
     pub time_left: Span,
-    /// How long its command has waited in the node behind others of its client, as part of that time.
+    /// Queueing time of the command behind other commands of its client, included in `time_left`.
     pub queued: Span,
-    /// It has the idempotency key by which servers know a repeated write.
+    /// Whether the call has an idempotency key, by which servers recognize a repeated write.
     pub has_idempotency_key: bool,
-    /// It is a retry of the client's.
+    /// Whether the call is a retry by the client.
     pub is_client_retry: bool,
 }
--- a/crates/node/src/origin.rs
+++ b/crates/node/src/origin.rs
@@ -1,4 +1,4 @@
-//! Requests to the origin, over HTTP/1.1, and what its responses mean.
+//! Encodes requests to the origin and parses its responses, in HTTP/1.1.
 use std::net::SocketAddr;
 
 use quartzhub_policy::{Outcome, Span};
@@ -10,8 +10,9 @@
 use crate::messages::Request;
 use crate::resp::{is_large_value, Parsed};
 
-/// The request for the origin, with the time that the node will wait. A value follows behind it as the body.
-pub fn encode_request(request: &Request, address: SocketAddr, wait: Span) -> Vec<u8> {
+/// Encodes a request to the origin, with the attempt's remaining time. A value is written after it
+/// as the body.
+pub fn encode_request(request: &Request, address: SocketAddr, time_left: Span) -> Vec<u8> {
     let method = if request.value.is_some() {
         "PUT"
     } else {
@@ -19,7 +20,7 @@
     };
     let key = percent_encode(&request.key);
     let id = &request.id;
-    let attributes = request.attributes_with_time_left(wait);
+    let attributes = request.attributes_with_time_left(time_left);
     let mut out = format!(
         "{method} /{key} HTTP/1.1\r\nHost: {address}\r\nX-Correlation-Id: {id}\r\nX-Facts: {attributes}\r\n"
     )
@@ -32,7 +33,7 @@
     out
 }
 
-/// A key as one segment of a path.
+/// Percent-encodes a key as one path segment.
 fn percent_encode(key: &str) -> String {
     let mut out = String::with_capacity(key.len());
     for byte in key.bytes() {
@@ -45,7 +46,7 @@
     out
 }
 
-/// Finds a body too large to be buffered in a response.
+/// Finds a body that is too large to be buffered in a response.
 pub fn large_value(bytes: &[u8], limits: &Limits) -> Option<LargeValue> {
     let Parsed::Complete(head, offset) = http::head(bytes, limits) else {
         return None;
@@ -58,11 +59,11 @@
     }
 }
 
-/// Reads a response; `ended`: the connection has ended.
-pub fn parse_response(bytes: &[u8], ended: bool, limits: &Limits) -> Parsed<AttemptResponse> {
-    let ((head, body), used) =
-        match http::parse_response(bytes, limits.buffered_value_bytes, ended, limits) {
-            Parsed::Complete(answer, used) => (answer, used),
+/// Parses a response; `at_eof` means that no more bytes will arrive.
+pub fn parse_response(bytes: &[u8], at_eof: bool, limits: &Limits) -> Parsed<AttemptResponse> {
+    let ((head, body), consumed) =
+        match http::parse_response(bytes, limits.buffered_value_bytes, at_eof, limits) {
+            Parsed::Complete(response, consumed) => (response, consumed),
             Parsed::Incomplete => return Parsed::Incomplete,
             Parsed::Malformed => return Parsed::Malformed,
         };
@@ -71,14 +72,14 @@
         503 | 504 if head.unprocessed => (Outcome::Overloaded, None),
         _ => (Outcome::ServerError, None),
     };
-    let reusable = head.keep_alive && !ended && used == bytes.len();
+    let reusable = head.keep_alive && !at_eof && consumed == bytes.len();
     Parsed::Complete(
         AttemptResponse {
             outcome,
             value,
             reusable,
         },
-        used,
+        consumed,
     )
 }
 
--- a/crates/node/src/origin/tests.rs
+++ b/crates/node/src/origin/tests.rs
@@ -1,9 +1,9 @@
-//! Requests to the origin and what its answers prove.
+//! Requests to the origin and the outcomes of its responses.
 use super::*;
 use expect_test::expect;
 
 #[test]
-fn reads_and_writes_as_requests() {
+fn reads_and_writes_are_encoded_as_get_and_put() {
     let call = |value: Option<&[u8]>| Request {
         key: "7f/3a 9".into(),
         id: "9b1f".into(),
@@ -24,9 +24,9 @@
 }
 
 #[test]
-fn an_error_may_have_run_unless_marked() {
+fn error_counts_as_executed_unless_marked_unprocessed() {
     let limits = Limits::default();
-    let told = [
+    let outcomes = [
         "200 OK",
         "500 x",
         "503 x",
@@ -47,5 +47,5 @@
         "503 x\r\nX-Unprocessed: 1": Complete(AttemptResponse { outcome: Overloaded, value: None, reusable: true }, 56)
         "404 x": Complete(AttemptResponse { outcome: ServerError, value: None, reusable: true }, 38)
     "#]]
-    .assert_eq(&told.concat());
+    .assert_eq(&outcomes.concat());
 }
--- a/crates/node/src/resp.rs
+++ b/crates/node/src/resp.rs
@@ -1,4 +1,4 @@
-//! RESP2, read with winnow: commands from clients, replies from cache servers.
+//! Parses and encodes RESP2 with winnow: commands of clients, replies of cache servers.
 use winnow::ascii::dec_int;
 use winnow::combinator::{alt, fail, preceded, terminated};
 use winnow::error::{ContextError, ErrMode};
@@ -8,26 +8,26 @@
 
 use crate::limits::Limits;
 
-/// Digits of a number, its sign included: more than any 64-bit number has.
+/// Most characters of a number, sign included; no 64-bit number has as many.
 const MAX_NUMBER_DIGITS: usize = 24;
 
-/// Index of the word of a command that is a value.
+/// Index of the value among a command's words.
 const VALUE_INDEX: i64 = 4;
 
 type Input<'a> = Partial<&'a [u8]>;
 
-/// What a parser makes of the bytes at hand.
+/// Result of parsing the bytes received so far.
 #[derive(Debug, PartialEq)]
 pub enum Parsed<T> {
-    /// A complete message, and its length in bytes.
+    /// A complete message and its length in bytes.
     Complete(T, usize),
-    /// The beginning of a message.
+    /// The start of a message.
     Incomplete,
-    /// No message, whatever may follow.
+    /// Not the start of any message.
     Malformed,
 }
 
-/// Runs a parser on the bytes at hand.
+/// Runs a parser on the bytes received so far.
 pub fn parsed<'a, T>(
     bytes: &'a [u8],
     mut parser: impl Parser<Input<'a>, T, ErrMode<ContextError>>,
@@ -40,27 +40,27 @@
     }
 }
 
-/// A reply of a server.
+/// A reply from a server.
 #[derive(Debug, PartialEq)]
 pub enum Reply<'a> {
     /// `+`: a line.
     Status(&'a [u8]),
-    /// `-`: a line that tells what went wrong.
+    /// `-`: a line with an error message.
     Error(&'a [u8]),
     /// `:`: an integer.
     Number(i64),
     /// `$`: bytes of a known length, or nil.
     Bulk(Option<&'a [u8]>),
-    /// `*`: a number of replies, or nil.
+    /// `*`: a list of replies, or nil.
     Array(Option<Vec<Reply<'a>>>),
 }
 
-fn line<'a>(input: &mut Input<'a>, most: usize) -> ModalResult<&'a [u8]> {
-    terminated(take_while(0..=most, |b| b != b'\r' && b != b'\n'), b"\r\n").parse_next(input)
+fn line<'a>(input: &mut Input<'a>, limit: usize) -> ModalResult<&'a [u8]> {
+    terminated(take_while(0..=limit, |b| b != b'\r' && b != b'\n'), b"\r\n").parse_next(input)
 }
 
 fn number(input: &mut Input) -> ModalResult<i64> {
-    // Guards against waiting for the end of digits without end.
+    // Digits without end must not be awaited forever.
     if input
         .iter()
         .take(MAX_NUMBER_DIGITS)
@@ -73,17 +73,17 @@
     terminated(dec_int::<_, i64, _>, b"\r\n").parse_next(input)
 }
 
-fn bulk<'a>(input: &mut Input<'a>, most: usize) -> ModalResult<Option<&'a [u8]>> {
+fn bulk<'a>(input: &mut Input<'a>, limit: usize) -> ModalResult<Option<&'a [u8]>> {
     match preceded(b'$', number).parse_next(input)? {
         -1 => Ok(None),
-        count if count >= 0 && count as usize <= most => terminated(take(count as usize), b"\r\n")
+        count if count >= 0 && count as usize <= limit => terminated(take(count as usize), b"\r\n")
             .map(Some)
             .parse_next(input),
         _ => fail.parse_next(input),
     }
 }
 
-/// A command: an array of bulk strings.
+/// Parses a command: an array of bulk strings.
 pub fn command<'a>(bytes: &'a [u8], limits: &Limits) -> Parsed<Vec<&'a [u8]>> {
     parsed(bytes, |input: &mut Input<'a>| {
         let count = preceded(b'*', number).parse_next(input)?;
@@ -92,13 +92,13 @@
         }
         let mut command = Vec::with_capacity(count as usize);
         for i in 0..count {
-            // Only a value may be large.
-            let most = if i == VALUE_INDEX {
+            // Only the value may be large.
+            let limit = if i == VALUE_INDEX {
                 limits.value_bytes
             } else {
                 limits.buffered_value_bytes
             };
-            match bulk(input, most)? {
+            match bulk(input, limit)? {
                 Some(word) => command.push(word),
                 None => return fail.parse_next(input),
             }
@@ -107,13 +107,13 @@
     })
 }
 
-/// Whether a value of so many bytes is too large to be buffered, and may be streamed.
+/// Whether a value of `size` bytes is too large to be buffered, but small enough to be streamed.
 pub fn is_large_value(size: usize, limits: &Limits) -> bool {
     (limits.buffered_value_bytes + 1..=limits.value_bytes).contains(&size)
 }
 
-/// How many bytes a command takes whose value is larger than a buffered one, once that is known: what comes
-/// before the value, the value and its terminator.
+/// The size in bytes, terminator included, of a command whose value is too large to be buffered,
+/// once the header of the value has arrived; `None` for any other command.
 pub fn large_command_size(bytes: &[u8], limits: &Limits) -> Option<usize> {
     let mut input = Partial::new(bytes);
     preceded(b'*', number)
@@ -130,21 +130,21 @@
     Some(bytes.len() - input.len() + size + 2)
 }
 
-/// The length of a bulk string, and where it begins.
+/// Parses the header of a bulk string: its length, or -1 for nil.
 pub fn bulk_header(bytes: &[u8]) -> Parsed<i64> {
     parsed(bytes, |input: &mut Input| {
         preceded(b'$', number).parse_next(input)
     })
 }
 
-/// The head of an array: how many items follow.
+/// Parses the header of an array: its number of items, or -1 for nil.
 pub fn array_header(bytes: &[u8]) -> Parsed<i64> {
     parsed(bytes, |input: &mut Input| {
         preceded(b'*', number).parse_next(input)
     })
 }
 
-/// A reply, with the limits that hold for those of servers.
+/// Parses a server's reply, within the limits for replies.
 pub fn reply<'a>(bytes: &'a [u8], limits: &Limits) -> Parsed<Reply<'a>> {
     parsed(bytes, |input: &mut Input<'a>| {
         item(input, limits, limits.reply_nesting)
--- a/crates/node/src/resp/tests.rs
+++ b/crates/node/src/resp/tests.rs
@@ -1,7 +1,7 @@
-//! Messages that are complete, cut off or malformed.
+//! Complete, truncated and malformed RESP messages.
 use super::*;
 
-fn few() -> Limits {
+fn small_limits() -> Limits {
     Limits {
         value_bytes: 64,
         buffered_value_bytes: 64,
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn every_cut_of_a_good_message_is_a_part() {
+fn every_prefix_of_a_valid_message_is_incomplete() {
     let mut bytes = Vec::new();
     encode_command(
         &mut bytes,
@@ -18,20 +18,20 @@
     );
     for cut in 0..bytes.len() {
         assert_eq!(
-            command(&bytes[..cut], &few()),
+            command(&bytes[..cut], &small_limits()),
             Parsed::Incomplete,
             "cut at {cut}"
         );
     }
     let request: Vec<&[u8]> = vec![b"OBJ.SET", b"k", b"id", b"c=put,d=4", b"\r\n$3"];
     assert_eq!(
-        command(&bytes, &few()),
+        command(&bytes, &small_limits()),
         Parsed::Complete(request, bytes.len())
     );
-    let answer = b"*3\r\n$2\r\nab\r\n$3\r\nhit\r\n$-1\r\nrest";
-    for cut in 0..answer.len() - 4 {
+    let response = b"*3\r\n$2\r\nab\r\n$3\r\nhit\r\n$-1\r\nrest";
+    for cut in 0..response.len() - 4 {
         assert_eq!(
-            reply(&answer[..cut], &few()),
+            reply(&response[..cut], &small_limits()),
             Parsed::Incomplete,
             "cut at {cut}"
         );
@@ -39,13 +39,13 @@
     let bulk = |text: &'static [u8]| Reply::Bulk(Some(text));
     let items = vec![bulk(b"ab"), bulk(b"hit"), Reply::Bulk(None)];
     assert_eq!(
-        reply(answer, &few()),
-        Parsed::Complete(Reply::Array(Some(items)), answer.len() - 4)
+        reply(response, &small_limits()),
+        Parsed::Complete(Reply::Array(Some(items)), response.len() - 4)
     );
 }
 
 #[test]
-fn garbage_is_broken_not_awaited() {
+fn garbage_is_malformed_and_not_incomplete() {
     for bytes in [
         &b"GET / HTTP/1.1\r\n"[..],
         b"*-1\r\n",
@@ -57,7 +57,11 @@
         b"\0\xff",
         b"*000000000000000000000000",
     ] {
-        assert_eq!(command(bytes, &few()), Parsed::Malformed, "{bytes:?}");
+        assert_eq!(
+            command(bytes, &small_limits()),
+            Parsed::Malformed,
+            "{bytes:?}"
+        );
     }
     for bytes in [
         &b"?\r\n"[..],
@@ -66,6 +70,10 @@
         b"*1\r\n*1\r\n*1\r\n*1\r\n:1\r\n",
         b"$2\r\nabc",
     ] {
-        assert_eq!(reply(bytes, &few()), Parsed::Malformed, "{bytes:?}");
+        assert_eq!(
+            reply(bytes, &small_limits()),
+            Parsed::Malformed,
+            "{bytes:?}"
+        );
     }
 }
--- a/crates/node/src/upstreams.rs
+++ b/crates/node/src/upstreams.rs
@@ -1,7 +1,8 @@
-//! Connections to servers: one attempt at a time on each, so that none waits behind a slow one.
+//! Connections to servers. Each carries one attempt at a time, so that no attempt queues behind a
+//! slow one.
 //!
-//! A value too large to be buffered is streamed from the upstream's buffer to the client's socket as it comes, and read no
-//! faster than the client takes it.
+//! A value too large to be buffered is streamed from the upstream's buffer to the client's socket
+//! as it arrives, and is read no faster than the client reads it.
 use std::cell::{Cell, OnceCell, RefCell};
 use std::io;
 use std::net::SocketAddr;
@@ -31,10 +32,10 @@
 pub use downstream::Downstream;
 pub use protocol::Protocol;
 
-/// Bytes of the largest value that is copied behind its command, to go out in one write.
-const COPIED_VALUE_BYTES: usize = 4096;
+/// Largest value, in bytes, that is copied behind its request, so that both go out in one write.
+const MAX_COPIED_VALUE_BYTES: usize = 4096;
 
-/// A value that follows behind its request.
+/// A value that is written after its request.
 struct RequestBody {
     value: Bytes,
     written: usize,
@@ -46,61 +47,62 @@
     address: SocketAddr,
     protocol: Protocol,
     stream: OnceCell<TcpStream>,
-    /// A request until it is written, then its response.
+    /// The request until it is written, then its response.
     buffer: RefCell<Buffer>,
-    /// What is still to be written behind the request.
+    /// The value that is still to be written after the request.
     request_body: RefCell<Option<RequestBody>>,
-    /// The request is not written to its end yet.
+    /// Whether the request is not completely written yet.
     request_unwritten: Cell<bool>,
-    /// The client whose attempt it carries, until that is written to its end.
+    /// The client whose attempt the connection carries, until its request is completely written.
     requester: RefCell<Option<Rc<dyn Downstream>>>,
-    /// It carries an attempt whose response is still to come.
+    /// Whether the connection carries an attempt that awaits its response.
     awaiting_response: Cell<bool>,
-    /// What has come of a body of unknown length.
+    /// The part of a body of unknown length that has been received.
     unsized_body: RefCell<Option<UnsizedBody>>,
-    /// What a large response takes of the memory budget.
+    /// Bytes of the memory budget that a large response has reserved.
     reserved_bytes: Cell<usize>,
-    /// A large value is buffered until it is complete, as other commands of its client are open behind it.
+    /// Whether a large value is buffered until it is complete, as its client has other open
+    /// commands.
     buffers_whole_value: Cell<bool>,
-    /// A large value is being streamed.
+    /// Whether a large value is being streamed.
     streaming: Cell<bool>,
-    /// The client that takes the streamed value.
+    /// The client that receives the streamed value.
     receiver: RefCell<Option<Rc<dyn Downstream>>>,
-    /// Bytes of the streamed value that its client has still to take.
+    /// Bytes of the streamed value that are not written to its client yet.
     remaining: Cell<usize>,
-    /// What stands behind the streamed value is not its end.
+    /// Whether the bytes after the streamed value are not its terminator.
     malformed: Cell<bool>,
-    /// The server keeps the connection open behind the streamed value.
+    /// Whether the server keeps the connection open after the streamed value.
     keep_alive: Cell<bool>,
     closed: Cell<bool>,
     wake: Notify,
 }
 
-/// What became of an attempt that was to be written.
+/// Result of writing an attempt's request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum WriteResult {
-    /// All of it is written.
+    /// The request is completely written.
     Complete,
-    /// The rest is written once the socket takes it.
+    /// The rest is written once the socket is writable.
     Partial,
-    /// Its client has left; no more of it is written.
+    /// The client has disconnected; the rest is not written.
     ClientDisconnected,
-    /// The connection is of no further use.
+    /// The connection can't be length any more.
     ConnectionBroken,
 }
 
-/// What a read leaves of a connection.
+/// State of a connection after a read.
 #[derive(Debug, PartialEq, Eq)]
 enum ReadResult {
     Open,
-    /// The server has ended its sending.
-    Ended,
-    /// The connection has broken, or more has come than is buffered.
+    /// The server has closed its sending side.
+    EndOfStream,
+    /// The connection is broken, or a response exceeds the buffer limit.
     Failed,
 }
 
 impl Upstream {
-    /// An upstream that is not connected yet.
+    /// Creates an upstream that is not connected yet.
     pub fn new(id: UpstreamId, address: SocketAddr, protocol: Protocol) -> Rc<Upstream> {
         Rc::new(Upstream {
             id,
@@ -125,39 +127,45 @@
         })
     }
 
-    /// Ends an attempt in flight at once, and has the task close the connection. Guards against a next attempt that is
-    /// written before the task has had its turn: the two would be in flight together.
+    /// Ends an attempt in flight at once, and makes the connection's task close the connection.
+    /// Without the immediate shutdown, the next attempt could be written before that task runs, and
+    /// the server would have both attempts in flight.
     pub fn close(&self) {
         self.closed.set(true);
         if let Some(stream) = self.stream.get().filter(|_| self.awaiting_response.get()) {
             let _ = socket2::SockRef::from(stream).shutdown(std::net::Shutdown::Write);
         }
-        // A client that a value is streamed to holds this upstream in turn.
+        // The client that receives a streamed value refers to this upstream too: breaks the cycle.
         self.receiver.take();
         self.requester.take();
         self.wake.notify_one();
     }
 
-    /// Sets the client that takes the value that is streamed.
+    /// Sets the client that receives the streamed value.
     pub fn stream_to(&self, receiver: Rc<dyn Downstream>) {
         *self.receiver.borrow_mut() = Some(receiver);
     }
 
-    /// Writes as much of an attempt of this client's as the socket takes.
+    /// Starts an attempt for `requester`: writes as much of the request as the socket accepts.
     pub fn write(
         &self,
         request: &Request,
-        wait: Span,
+        time_left: Span,
         requester: Rc<dyn Downstream>,
     ) -> WriteResult {
         {
             let mut buffer = self.buffer.borrow_mut();
-            // Guards against taking what came unasked for the response, and against a write that a server
-            // which has closed an idle upstream never reads: the end may be there before tokio tells of it.
+            // Unsolicited bytes must not be taken for the response, and a server that has closed an
+            // idle connection never reads the request. The socket is asked, as tokio may not have
+            // seen the FIN yet.
             if !buffer.is_empty() || !self.stream.get().is_some_and(is_open_and_idle) {
                 return WriteResult::ConnectionBroken;
             }
-            buffer.put(&self.protocol.encode_request(request, self.address, wait));
+            buffer.put(
+                &self
+                    .protocol
+                    .encode_request(request, self.address, time_left),
+            );
             *self.request_body.borrow_mut() = request
                 .value
                 .clone()
@@ -173,14 +181,14 @@
         written
     }
 
-    /// Writes on, unless the client has left by now.
+    /// Continues to write the request, unless the client has disconnected.
     fn continue_writing(&self) -> WriteResult {
-        let client_gone = self
+        let client_disconnected = self
             .requester
             .borrow()
             .as_ref()
             .is_some_and(|requester| requester.has_disconnected());
-        if client_gone {
+        if client_disconnected {
             return WriteResult::ClientDisconnected;
         }
         match self.flush() {
@@ -193,7 +201,8 @@
         }
     }
 
-    /// Writes on; true once all is written. A small value goes out in one write with its request.
+    /// Writes as much as the socket accepts; returns whether the request is completely written. A
+    /// small value goes out in one write with its request.
     fn flush(&self) -> io::Result<bool> {
         let mut buffer = self.buffer.borrow_mut();
         let Some(stream) = self.stream.get() else {
@@ -202,7 +211,7 @@
         let mut request_body = self.request_body.borrow_mut();
         let terminator = self.protocol.value_terminator();
         let small = request_body
-            .take_if(|body| body.written == 0 && body.value.len() <= COPIED_VALUE_BYTES);
+            .take_if(|body| body.written == 0 && body.value.len() <= MAX_COPIED_VALUE_BYTES);
         if let Some(body) = small {
             buffer.put(&body.value);
             buffer.put(terminator);
@@ -226,11 +235,11 @@
         Ok(done)
     }
 
-    /// Reads what has come, up to the largest response that may be buffered.
+    /// Reads available bytes, up to the largest response that may be buffered.
     fn read(&self, stream: &TcpStream, limits: &Limits) -> ReadResult {
         let mut buffer = self.buffer.borrow_mut();
         match buffer.read(stream, limits.read_bytes) {
-            Ok(0) => return ReadResult::Ended,
+            Ok(0) => return ReadResult::EndOfStream,
             Ok(_) => {}
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => return ReadResult::Open,
             Err(_) => return ReadResult::Failed,
@@ -248,16 +257,18 @@
         }
     }
 
-    /// The response, once it is complete; `ended`: no more will come.
-    fn parse_response(&self, ended: bool, limits: &Limits) -> Parsed<AttemptResponse> {
+    /// Parses the buffered response; `at_eof` means that no more bytes will arrive.
+    fn parse_response(&self, at_eof: bool, limits: &Limits) -> Parsed<AttemptResponse> {
         let mut buffer = self.buffer.borrow_mut();
         if buffer.is_empty() {
             return Parsed::Incomplete;
         }
-        let parsed = self.protocol.parse_response(buffer.unread(), ended, limits);
-        if let Parsed::Complete(_, used) = &parsed {
+        let parsed = self
+            .protocol
+            .parse_response(buffer.unread(), at_eof, limits);
+        if let Parsed::Complete(_, consumed) = &parsed {
             self.awaiting_response.set(false);
-            buffer.consume(*used);
+            buffer.consume(*consumed);
             buffer.shrink(limits.idle_buffer_bytes);
         }
         parsed
--- a/crates/node/src/upstreams/body_reader.rs
+++ b/crates/node/src/upstreams/body_reader.rs
@@ -1,6 +1,7 @@
-//! Bodies of unknown length, in chunks or up to the end of the connection.
+//! Reads bodies of unknown length: chunked, or delimited by the end of the connection.
 //!
-//! A client is told the length of a value first, so such a body is buffered until it is complete.
+//! A response to a client starts with the length of its value, so such a body is buffered until it
+//! is complete.
 use quartzhub_policy::Outcome;
 
 use super::protocol::Protocol;
@@ -12,36 +13,36 @@
 use crate::limits::Limits;
 use crate::resp::Parsed;
 
-/// What has come of a body of unknown length.
+/// The part of a body of unknown length that has been received.
 pub(super) struct UnsizedBody {
     head: Head,
     bytes: Vec<u8>,
 }
 
 impl UnsizedBody {
-    /// Consumes the head of a response whose body has no known length, if that is what has come.
+    /// Consumes the head of a response whose body has no known length; `None` for other responses.
     fn start(buffer: &mut Buffer, limits: &Limits) -> Option<UnsizedBody> {
-        let Parsed::Complete(head, used) = http::head(buffer.unread(), limits) else {
+        let Parsed::Complete(head, consumed) = http::head(buffer.unread(), limits) else {
             return None;
         };
         if head.status != 200 || !matches!(head.body, Body::Chunked | Body::UntilClose) {
             return None;
         }
-        buffer.consume(used);
+        buffer.consume(consumed);
         Some(UnsizedBody {
             head,
             bytes: Vec::new(),
         })
     }
 
-    /// Moves what has come from the buffer to the body; `ended`: no more will come.
-    fn append(&mut self, buffer: &mut Buffer, ended: bool, limits: &Limits) -> Parsed<()> {
+    /// Moves received bytes from the buffer to the body; `at_eof` means that no more will arrive.
+    fn append(&mut self, buffer: &mut Buffer, at_eof: bool, limits: &Limits) -> Parsed<()> {
         loop {
             let bytes = buffer.unread();
             let remaining = limits.value_bytes - self.bytes.len();
-            let (chunk, used) = match self.head.body {
+            let (chunk, consumed) = match self.head.body {
                 Body::Chunked => match http::chunk(bytes, remaining, limits) {
-                    Parsed::Complete(chunk, used) => (chunk, used),
+                    Parsed::Complete(chunk, consumed) => (chunk, consumed),
                     Parsed::Incomplete => return Parsed::Incomplete,
                     Parsed::Malformed => return Parsed::Malformed,
                 },
@@ -49,24 +50,25 @@
                 _ => (bytes, bytes.len()),
             };
             if chunk.is_empty() {
-                return if self.head.body == Body::Chunked || ended {
+                return if self.head.body == Body::Chunked || at_eof {
                     Parsed::Complete((), 0)
                 } else {
                     Parsed::Incomplete
                 };
             }
             self.bytes.extend_from_slice(chunk);
-            buffer.consume(used);
+            buffer.consume(consumed);
         }
     }
 }
 
 impl Upstream {
-    /// Reads on in a body of unknown length, within the memory budget, and gives the response once it is complete.
+    /// Continues to read a body of unknown length, within the memory budget. Returns the response
+    /// once it is complete.
     pub(super) fn read_unsized_body(
         &self,
         executor: &EffectExecutor,
-        ended: bool,
+        at_eof: bool,
     ) -> Parsed<AttemptResponse> {
         let limits = &executor.limits;
         let mut unsized_body = self.unsized_body.borrow_mut();
@@ -77,7 +79,7 @@
         let Some(body) = unsized_body.as_mut() else {
             return Parsed::Incomplete;
         };
-        let appended = body.append(&mut buffer, ended, limits);
+        let appended = body.append(&mut buffer, at_eof, limits);
         if appended == Parsed::Malformed {
             return Parsed::Malformed;
         }
@@ -89,11 +91,11 @@
         if appended == Parsed::Incomplete {
             return Parsed::Incomplete;
         }
-        // The chunk that ends the body.
-        if let Parsed::Complete(_, used) = http::chunk(buffer.unread(), 0, limits) {
-            buffer.consume(used);
+        // Consumes the empty chunk that ends a chunked body.
+        if let Parsed::Complete(_, consumed) = http::chunk(buffer.unread(), 0, limits) {
+            buffer.consume(consumed);
         }
-        let reusable = body.head.keep_alive && !ended && buffer.is_empty();
+        let reusable = body.head.keep_alive && !at_eof && buffer.is_empty();
         let value = Some(std::mem::take(&mut body.bytes));
         *unsized_body = None;
         self.awaiting_response.set(false);
--- a/crates/node/src/upstreams/connection.rs
+++ b/crates/node/src/upstreams/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a server from its connect to its end.
+//! One connection to a server, from connect to close.
 use std::io;
 use std::ops::ControlFlow::{self, Break, Continue};
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use crate::effects::EffectExecutor;
 use crate::resp::Parsed;
 
-/// Connects, then reads and writes until the connection ends or is closed.
+/// Connects, then reads and writes until the server or the node closes the connection.
 pub async fn run(executor: Rc<EffectExecutor>, upstream: Rc<Upstream>) {
     if let Some(stream) = connect(&executor, &upstream).await {
         serve(&executor, &upstream, stream).await;
@@ -20,7 +20,7 @@
     upstream.reserve(&executor, 0);
 }
 
-/// The connection, unless it failed or the upstream was closed meanwhile.
+/// Connects to the server; `None` if that fails or the upstream is closed meanwhile.
 async fn connect<'a>(
     executor: &Rc<EffectExecutor>,
     upstream: &'a Upstream,
@@ -34,7 +34,7 @@
     };
     let failure = match connected {
         Ok(Ok(stream)) if !upstream.closed.get() => {
-            // Without it a response may come later; nothing else hangs on it.
+            // A failure to set it only adds latency.
             let _ = stream.set_nodelay(true);
             let _ = upstream.stream.set(stream);
             executor.report(|reducer, now| reducer.on_connected(now, upstream.id));
@@ -55,8 +55,8 @@
     None
 }
 
-/// Whether a connect that failed tells of the server, and not of this machine's want of descriptors, ports or
-/// memory.
+/// Whether a failed connect is the server's fault, not caused by this machine running out of
+/// descriptors, ports or memory.
 fn is_server_fault(e: &io::Error) -> bool {
     use io::ErrorKind::*;
     matches!(
@@ -102,7 +102,7 @@
     executor.close_upstream(upstream.id);
 }
 
-/// Writes on in a request; breaks if the connection is of no further use.
+/// Continues to write a request; breaks if the connection can't be used any more.
 fn continue_write(executor: &Rc<EffectExecutor>, upstream: &Upstream) -> ControlFlow<()> {
     match upstream.continue_writing() {
         WriteResult::Complete => executor.report(|reducer, _| reducer.on_written(upstream.id)),
@@ -115,14 +115,15 @@
     Continue(())
 }
 
-/// Reads on in a response and reports what has come of it; breaks if the connection is of no further use.
+/// Continues to read a response and reports progress; breaks if the connection can't be used any
+/// more.
 fn read_response(
     executor: &Rc<EffectExecutor>,
     upstream: &Upstream,
     stream: &TcpStream,
 ) -> ControlFlow<()> {
     let read = upstream.read(stream, &executor.limits);
-    // Guards against what comes unasked being taken for the response to the next attempt.
+    // Unsolicited bytes must not be taken for the response to the next attempt.
     if !upstream.awaiting_response.get() && !upstream.buffer.borrow().is_empty() {
         return Break(());
     }
@@ -136,10 +137,10 @@
     }
     if let Some(size) = streamed_size {
         executor.report(|reducer, now| reducer.on_streaming_started(now, upstream.id, size));
-        // An end that has come already is met again by the next read.
+        // If the server has already closed its side, the next read returns that again.
         return Continue(());
     }
-    let response = next_response(executor, upstream, read == ReadResult::Ended);
+    let response = next_response(executor, upstream, read == ReadResult::EndOfStream);
     let open = read == ReadResult::Open;
     report_response(executor, upstream, response, open);
     if open {
@@ -149,19 +150,19 @@
     }
 }
 
-/// The response, once it is complete; `ended`: no more will come.
+/// Parses the response from the received bytes; `at_eof` means that no more will arrive.
 fn next_response(
     executor: &Rc<EffectExecutor>,
     upstream: &Upstream,
-    ended: bool,
+    at_eof: bool,
 ) -> Parsed<AttemptResponse> {
-    match upstream.read_unsized_body(executor, ended) {
-        // Guards against taking for malformed what only announces a large value: its head may come by itself.
-        Parsed::Incomplete if !ended && upstream.large_value(&executor.limits).is_some() => {
+    match upstream.read_unsized_body(executor, at_eof) {
+        // The head of a large value may arrive without any of its bytes; it is not malformed.
+        Parsed::Incomplete if !at_eof && upstream.large_value(&executor.limits).is_some() => {
             Parsed::Incomplete
         }
         Parsed::Incomplete if upstream.unsized_body.borrow().is_some() => Parsed::Incomplete,
-        Parsed::Incomplete => upstream.parse_response(ended, &executor.limits),
+        Parsed::Incomplete => upstream.parse_response(at_eof, &executor.limits),
         response => {
             upstream.reserve(executor, 0);
             response
@@ -176,15 +177,15 @@
     open: bool,
 ) {
     match response {
-        Parsed::Complete(mut answer, _) => {
-            // Guards against a next attempt on an upstream that the server has closed behind its response.
-            answer.reusable &= open;
-            executor.report(|reducer, now| reducer.on_response(now, upstream.id, answer));
+        Parsed::Complete(mut response, _) => {
+            // An upstream that the server closed after its response can't carry another attempt.
+            response.reusable &= open;
+            executor.report(|reducer, now| reducer.on_response(now, upstream.id, response));
         }
         Parsed::Incomplete => {
-            let begun =
+            let has_started =
                 !upstream.buffer.borrow().is_empty() || upstream.unsized_body.borrow().is_some();
-            if begun {
+            if has_started {
                 executor.report(|reducer, now| reducer.on_partial_response(now, upstream.id));
             }
         }
--- a/crates/node/src/upstreams/downstream.rs
+++ b/crates/node/src/upstreams/downstream.rs
@@ -1,10 +1,11 @@
-//! The client behind an attempt, as an upstream sees it.
+//! The client of an attempt, as its upstream sees it.
 
-/// What an upstream needs of the client whose attempt it carries.
+/// The client whose attempt an upstream carries.
 pub trait Downstream {
-    /// There are more bytes of the value that is streamed to the client.
+    /// Notifies the client that more bytes of its streamed value are available.
     fn on_bytes_available(&self);
 
-    /// Whether the client has ended its sending or its connection has broken, as the system has it now.
+    /// Whether the client has closed its sending side or its connection is broken, according to the
+    /// kernel: the runtime may not have seen it yet.
     fn has_disconnected(&self) -> bool;
 }
--- a/crates/node/src/upstreams/memory_budget.rs
+++ b/crates/node/src/upstreams/memory_budget.rs
@@ -1,10 +1,11 @@
-//! The memory that large responses take, of what all connections may take together.
+//! Reserves memory for large responses from the budget that all connections share.
 use super::Upstream;
 use crate::effects::EffectExecutor;
 use crate::reducer::Reducer;
 
 impl Upstream {
-    /// Counts what a large response takes in place of what this upstream took before; false if it does not fit.
+    /// Replaces this upstream's reservation by `bytes`, or by none for a small response. Returns
+    /// false, and reserves nothing, if the budget is exceeded.
     pub(super) fn reserve(&self, executor: &EffectExecutor, bytes: usize) -> bool {
         let bytes = if bytes > 2 * executor.limits.buffered_value_bytes {
             bytes
--- a/crates/node/src/upstreams/protocol.rs
+++ b/crates/node/src/upstreams/protocol.rs
@@ -1,4 +1,4 @@
-//! The protocols of servers: RESP for caches, HTTP/1.1 for the origin.
+//! Protocols of the servers: RESP for caches, HTTP/1.1 for the origin.
 use std::net::SocketAddr;
 
 use quartzhub_policy::Span;
@@ -21,29 +21,29 @@
 }
 
 impl Protocol {
-    /// The request without its value, which follows behind it.
+    /// Encodes the request without its value, which is written after it.
     pub(super) fn encode_request(
         self,
         request: &Request,
         address: SocketAddr,
-        wait: Span,
+        time_left: Span,
     ) -> Vec<u8> {
         match self {
-            Protocol::Resp => caches::encode_request(request, wait),
-            Protocol::Http => origin::encode_request(request, address, wait),
+            Protocol::Resp => caches::encode_request(request, time_left),
+            Protocol::Http => origin::encode_request(request, address, time_left),
         }
     }
 
-    /// Reads a response from the bytes at hand; `ended`: no more will come.
+    /// Parses a response from received bytes; `at_eof` means that no more will arrive.
     pub(super) fn parse_response(
         self,
         bytes: &[u8],
-        ended: bool,
+        at_eof: bool,
         limits: &Limits,
     ) -> Parsed<AttemptResponse> {
         match self {
             Protocol::Resp => caches::parse_response(bytes, limits),
-            Protocol::Http => origin::parse_response(bytes, ended, limits),
+            Protocol::Http => origin::parse_response(bytes, at_eof, limits),
         }
     }
 
@@ -55,7 +55,7 @@
         }
     }
 
-    /// What stands behind a value, in a request and in a response.
+    /// The bytes that terminate a value, in requests and responses.
     pub(super) fn value_terminator(self) -> &'static [u8] {
         match self {
             Protocol::Resp => caches::VALUE_TERMINATOR,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Whether the server keeps the connection open behind the response that begins here.
+    /// Whether the server keeps the connection open after the response that starts here.
     pub(super) fn keeps_alive(self, response: &[u8], limits: &Limits) -> bool {
         match self {
             Protocol::Resp => true,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Whether what stands behind a large value ends its response as it should.
+    /// Whether the bytes after a large value are a well-formed end of its response.
     pub(super) fn is_response_end(self, bytes: &[u8], limits: &Limits) -> bool {
         match self {
             Protocol::Resp => bytes
--- a/crates/node/src/upstreams/streaming.rs
+++ b/crates/node/src/upstreams/streaming.rs
@@ -1,4 +1,4 @@
-//! Values too large to be buffered, streamed to the client as they come.
+//! Streams values that are too large to be buffered to the client as they arrive.
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,29 +15,31 @@
 /// Why a streamed value can't be completed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum StreamError {
-    /// It broke off, or what stands behind it is not its end.
+    /// The connection ended within the value, or the bytes after it are not its terminator.
     #[error("streamed value from {0} is truncated or malformed")]
     Malformed(SocketAddr),
-    /// Nothing more came of it for too long.
+    /// No more of the value arrived within the stall timeout.
     #[error("streamed value from {0} has stalled")]
     Stalled(SocketAddr),
 }
 
 impl Upstream {
-    /// Finds a value too large to be buffered in what has come.
+    /// Finds a value that is too large to be buffered in the received bytes.
     pub(super) fn large_value(&self, limits: &Limits) -> Option<LargeValue> {
         self.protocol
             .large_value(self.buffer.borrow().unread(), limits)
     }
 
-    /// Starts to stream a value too large to be buffered, if that is what has come; gives its size. Unless its client waits for
-    /// nothing else it is started once it is complete: one that broke off would end the connection on the commands behind it.
+    /// Starts to stream a value that is too large to be buffered, if one is being received; returns
+    /// its size. If the client has other open commands, streaming starts only once the value is
+    /// complete: a value that breaks off aborts the client's connection, and those commands would
+    /// fail too.
     pub(super) fn start_streaming(&self, executor: &EffectExecutor) -> Option<usize> {
         let limits = &executor.limits;
         let LargeValue { offset, size } = self.large_value(limits)?;
         let mut buffer = self.buffer.borrow_mut();
         let bytes = buffer.unread();
-        // Some of it is there, not only what announces it.
+        // Only the head has arrived so far.
         if bytes.len() == offset {
             return None;
         }
@@ -57,8 +59,8 @@
         Some(size)
     }
 
-    /// How many bytes there are for the client. Guards against streaming a malformed value as a complete one: its last byte
-    /// goes once what stands behind it has been seen to be its end.
+    /// Number of bytes that may be written to the client. The last byte is held back until the
+    /// terminator after it has been checked, so that a malformed value never looks complete.
     pub fn streamable_bytes(&self) -> usize {
         let buffer = self.buffer.borrow();
         let bytes = buffer.unread();
@@ -76,7 +78,8 @@
         }
     }
 
-    /// Writes what there is to the client's socket; true once the value is complete there.
+    /// Writes available bytes to the client's socket; returns whether the value is completely
+    /// written.
     pub fn write_streamed(&self, client: &TcpStream) -> io::Result<bool> {
         let mut written = false;
         loop {
@@ -97,19 +100,19 @@
             }
         }
         if written || self.malformed.get() {
-            // There is room to read on, or the end of it.
+            // The task can read more into the freed space, or finish or fail the value.
             self.wake.notify_one();
         }
         Ok(self.remaining.get() == 0)
     }
 
-    /// Whether a part of the value or its end is still to come.
+    /// Whether a part of the value or its terminator has not been received.
     fn is_incomplete(&self) -> bool {
         let expected = self.remaining.get() + self.protocol.value_terminator().len();
         self.buffer.borrow().unread().len() < expected
     }
 
-    /// Prepares the upstream for its next attempt once the client has the value.
+    /// Prepares the upstream for its next attempt after the value is written to the client.
     fn finish_streaming(&self, executor: &Rc<EffectExecutor>, ended: bool) {
         let mut buffer = self.buffer.borrow_mut();
         let well_formed = self
@@ -125,15 +128,16 @@
         self.reserve(executor, 0);
         let reusable = well_formed && !ended && self.keep_alive.get();
         executor.report(|reducer, now| reducer.on_streaming_finished(now, self.id, reusable));
-        // What came behind the value may be read now.
+        // The client's commands after this call may be read now.
         if let Some(receiver) = receiver {
             receiver.on_bytes_available();
         }
     }
 }
 
-/// Reads a value as fast as its client takes it, until it is complete there or the upstream is closed. Guards against a
-/// server that stalls in the middle; a client that does is closed by its own task.
+/// Reads a value as fast as its client reads it, until it is completely written or the upstream is
+/// closed. Fails if the server stalls within the value; a client that stalls is closed by its own
+/// task.
 pub(super) async fn stream_value(
     executor: &Rc<EffectExecutor>,
     upstream: &Upstream,
@@ -145,22 +149,22 @@
             upstream.finish_streaming(executor, ended);
             return Ok(());
         }
-        let broken_off = ended && upstream.is_incomplete();
-        if upstream.malformed.get() || broken_off {
+        let is_truncated = ended && upstream.is_incomplete();
+        if upstream.malformed.get() || is_truncated {
             return Err(StreamError::Malformed(upstream.address));
         }
-        let has_room = !ended
+        let has_capacity = !ended
             && upstream.buffer.borrow().unread().len() < executor.limits.streaming_window_bytes;
         let stall = tokio::time::sleep(duration(executor.limits.streaming_stall_timeout));
         tokio::select! {
-            ready = stream.readable(), if has_room => {
+            ready = stream.readable(), if has_capacity => {
                 ended = ready.is_err() || upstream.read(stream, &executor.limits) != ReadResult::Open;
                 if let Some(receiver) = upstream.receiver.borrow().as_ref() {
                     receiver.on_bytes_available();
                 }
             }
             () = upstream.wake.notified() => {}
-            () = stall, if has_room => return Err(StreamError::Stalled(upstream.address)),
+            () = stall, if has_capacity => return Err(StreamError::Stalled(upstream.address)),
         }
     }
     Ok(())
