--- a/crates/node/src/clients/accept.rs
+++ b/crates/node/src/clients/accept.rs
@@ -43,7 +43,7 @@
             listener,
             last_accepted: last_accepted.clone(),
             paused_since: None,
-            attempts: 0,
+            accept_count: 0,
             failures: AcceptFailures::default(),
         };
         Acceptor {
@@ -79,7 +79,8 @@
     last_accepted: Rc<Cell<Time>>,
     /// Start of the current pause in accepting: clients may have waited in the queue since then.
     paused_since: Option<Time>,
-    attempts: usize,
+    /// Calls of accept so far; counted to let other tasks run at regular intervals.
+    accept_count: usize,
     failures: AcceptFailures,
 }
 
@@ -145,9 +146,9 @@
     }
 
     async fn accept_next(&mut self) {
-        self.attempts += 1;
+        self.accept_count += 1;
         if self
-            .attempts
+            .accept_count
             .is_multiple_of(self.executor.limits.commands_per_turn)
         {
             tokio::task::yield_now().await;
--- a/crates/node/src/clients/arrival_times.rs
+++ b/crates/node/src/clients/arrival_times.rs
@@ -47,8 +47,8 @@
     }
 
     /// Records that `count` more bytes have been read. After a pause they may have arrived long
-    /// before they were read: `last_byte_age` then returns how long ago the last byte arrived, which
-    /// is the time of the last command, and all earlier bytes count as arrived when the pause
+    /// before they were read: `last_byte_age` then returns how long ago the last byte arrived,
+    /// which is the time of the last command, and all earlier bytes count as arrived when the pause
     /// began.
     pub fn read(&mut self, now: Time, count: usize, last_byte_age: impl FnOnce() -> Option<Span>) {
         let before = self.reads.back().map_or(self.consumed, |last| last.end);
--- a/crates/node/src/clients/closing.rs
+++ b/crates/node/src/clients/closing.rs
@@ -82,8 +82,8 @@
             self.executor
                 .report(|reducer, _| reducer.reject_calls_of(self.id));
         }
-        self.final_reads += 1;
-        self.final_reads <= limits.open_calls_per_client
+        self.draining_reads += 1;
+        self.draining_reads <= limits.open_calls_per_client
     }
 
     /// How long the client may still send bytes; after a partial command, the time for its rest.
--- a/crates/node/src/clients/commands.rs
+++ b/crates/node/src/clients/commands.rs
@@ -63,7 +63,7 @@
     Command,
     /// Nothing: no command is complete.
     Incomplete,
-    /// A final command (QUIT), or a malformed one; nothing after it is read.
+    /// The last command to be taken, or a malformed one; nothing after it is read.
     EndOfInput,
 }
 
@@ -201,8 +201,8 @@
     attributes: RequestAttributes<'a>,
 }
 
-/// Validates the arguments of an API call. They are sent on to servers, where a space or a line
-/// break could otherwise break out of the RESP command or the HTTP request.
+/// Validates the arguments of an API call. They are forwarded to servers, where a space or a line
+/// break could otherwise alter the structure of the RESP command or the HTTP request.
 fn parse_api_call<'a>(
     key: &'a [u8],
     id: &'a [u8],
--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -54,14 +54,14 @@
     pub(super) arrivals: ArrivalTimes,
     pub(super) reservation: BufferReservation<'a>,
     pub(super) large_command: Option<LargeCommand>,
-    /// False after a malformed command or a final one (QUIT): nothing more is read.
+    /// False after QUIT or a malformed or rejected command: nothing more is read.
     pub(super) reading: bool,
     /// When the client last sent a command or was last written to.
     pub(super) last_active: Time,
     /// When the incomplete command in the buffer began.
     pub(super) partial_since: Option<Time>,
-    /// Number of reads since draining began.
-    pub(super) final_reads: usize,
+    /// Number of reads made while the client is being drained.
+    pub(super) draining_reads: usize,
     /// Until when responses are deferred to the close although calls are open.
     pub(super) deferred_until: Option<Time>,
 }
@@ -83,7 +83,7 @@
             reading: true,
             last_active: executor.clock.now(),
             partial_since: None,
-            final_reads: 0,
+            draining_reads: 0,
             deferred_until: None,
         }
     }
@@ -196,14 +196,15 @@
             return self.partial_since(executor.clock.now()) + limits.partial_command_timeout;
         }
         // Limits new clients that send nothing, or only a few bytes at a time.
-        let silent = self.last_active + limits.client_first_call_timeout;
+        let first_call_deadline = self.last_active + limits.client_first_call_timeout;
         if self.buffer.is_empty() {
-            return silent;
+            return first_call_deadline;
         }
-        let partial = self.partial_since(executor.clock.now()) + limits.partial_command_timeout;
-        partial
+        let partial_deadline =
+            self.partial_since(executor.clock.now()) + limits.partial_command_timeout;
+        partial_deadline
             .min(self.last_active + limits.partial_first_command_timeout)
-            .max(silent)
+            .max(first_call_deadline)
     }
 
     /// Waits until the client can be read or written, disconnects, or its deadline passes.
--- a/crates/node/src/clients/memory_budget.rs
+++ b/crates/node/src/clients/memory_budget.rs
@@ -17,15 +17,15 @@
     /// Sets the reserved bytes, even if they exceed the budget.
     pub fn set(&mut self, bytes: usize) {
         self.executor
-            .client_buffer_bytes
-            .set(self.executor.client_buffer_bytes.get() - self.bytes + bytes);
+            .reserved_buffer_bytes
+            .set(self.executor.reserved_buffer_bytes.get() - self.bytes + bytes);
         if bytes < self.bytes {
             self.executor.capacity_freed.notify_waiters();
         }
         self.bytes = bytes;
     }
 
-    /// Waits deadline the whole memory of a large command is free and reserves it; returns false if
+    /// Waits until the whole memory of a large command is free and reserves it; returns false if
     /// the wait times out. This keeps many large commands from exhausting the memory, and from
     /// blocking each other with partial reservations. During the wait nothing is read from the
     /// client.
@@ -35,7 +35,7 @@
             .clock
             .instant(executor.clock.now() + executor.limits.capacity_wait);
         loop {
-            let others = executor.client_buffer_bytes.get() - self.bytes
+            let others = executor.reserved_buffer_bytes.get() - self.bytes
                 + executor.query(Reducer::buffered_bytes);
             if others + bytes <= executor.limits.buffered_bytes {
                 self.set(bytes);
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Follows discovery by a watch that is opened again whenever it ends. Only whole lines, also empty ones, keep it alive.
+//! Follows discovery by a watch, which is reopened whenever it ends. Only complete lines, empty
+//! ones included, keep a watch alive.
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -16,11 +17,12 @@
 use backoff::Backoff;
 use watch::Watch;
 
-/// The address of the discovery that is to be followed, as configurations change it.
+/// The address of the discovery to follow, updated when the configuration changes it.
 type DiscoveryAddress = watch_channel::Receiver<Option<SocketAddr>>;
 
-/// Follows the discovery at `address`, and another when the address changes; ends with the sender of addresses. The watch
-/// on the one before goes on until the new one has sent its list, so that updates never stop.
+/// Follows the discovery at `address`, and switches when the address changes; returns when the
+/// sender of addresses is dropped. The watch on the previous discovery continues until the new one
+/// has sent its endpoint list, so that updates never stop.
 pub async fn follow(
     executor: Rc<EffectExecutor>,
     mut address: DiscoveryAddress,
@@ -39,21 +41,21 @@
                 seed,
                 updated.clone(),
             ));
-            // Another discovery may count its versions in another way.
+            // Versions of another discovery are not comparable with these.
             version = 0;
-            let renamed = tokio::select! {
+            let address_changed = tokio::select! {
                 () = updated.notified() => false,
                 _ = address.changed() => true,
             };
-            if renamed && current.is_some() {
+            if address_changed && current.is_some() {
                 next.abort();
                 continue;
             }
             if let Some(previous) = current.replace(next) {
-                tracing::info!("discovery: moved to {discovery}");
+                tracing::info!("discovery: switched to {discovery}");
                 previous.abort();
             }
-            if renamed {
+            if address_changed {
                 continue;
             }
         }
@@ -63,7 +65,8 @@
     }
 }
 
-/// Opens a watch again, after a backoff with jitter, whenever it has ended; meanwhile the known list stays in use.
+/// Reopens the watch, after a backoff with jitter, whenever it has ended. Meanwhile the known
+/// endpoint list stays in use.
 async fn keep_watching(
     executor: Rc<EffectExecutor>,
     discovery: SocketAddr,
@@ -82,7 +85,7 @@
             updated.clone(),
         );
         let Err(error) = watch.run().await;
-        tracing::warn!(from = %discovery, "discovery: {error}");
+        tracing::warn!(from = %discovery, "discovery watch ended: {error}");
         let outcome = watch.outcome(version);
         version = watch.version();
         drop(watch);
--- a/crates/node/src/discovery/backoff.rs
+++ b/crates/node/src/discovery/backoff.rs
@@ -1,4 +1,5 @@
-//! How long a silent watch is waited for, and the backoff before the next. No clock, no I/O.
+//! Timeout for the first line of a watch, and the backoff before the next watch. Uses no clock and
+//! no I/O.
 use quartzhub_policy::{Pcg, Span};
 
 use crate::limits::Limits;
@@ -6,18 +7,18 @@
 #[cfg(test)]
 mod tests;
 
-/// Growth of the backoff from one watch to the next.
-const GROWTH: f64 = 2.0;
-/// Least part of the backoff that is waited; jitter adds up to as much as the whole.
+/// Factor by which the backoff grows from one watch to the next.
+const GROWTH_FACTOR: f64 = 2.0;
+/// Smallest fraction of the backoff that is waited; jitter adds up to one whole backoff.
 const MIN_JITTER: f64 = 0.5;
-/// Each of so many silent watches in a row is given more time.
+/// One in this many consecutive watches without a complete line gets the longer timeout.
 const SLOW_OPEN_PERIOD: u32 = 3;
 
-/// What a watch has brought by its end.
+/// What a watch has received by its end.
 #[derive(Debug, Clone, Copy)]
 pub struct WatchOutcome {
-    /// Whether a whole line came.
-    pub answered: bool,
+    /// Whether a complete line was received.
+    pub received_line: bool,
     /// Whether the version of the endpoint list has changed.
     pub version_changed: bool,
 }
@@ -25,45 +26,45 @@
 /// The backoff between watches.
 pub struct Backoff {
     limits: Limits,
-    /// Watches in a row that sent nothing whole.
-    silent_watches: u32,
-    /// The last backoff, before jitter.
+    /// Consecutive watches without a complete line.
+    watches_without_line: u32,
+    /// The current backoff, before jitter.
     delay: Span,
 }
 
 impl Backoff {
-    /// The backoff before the first watch has ended.
+    /// Creates the state before the first watch.
     pub fn new(limits: &Limits) -> Backoff {
         Backoff {
             limits: limits.clone(),
-            silent_watches: 0,
+            watches_without_line: 0,
             delay: limits.watch_first_backoff,
         }
     }
 
-    /// For the first whole line of the next watch. Guards against silences that together outlast the time after which
-    /// all counts as notified, counted from the moment at which discovery is back: so the time never grows for good. Each
-    /// third one has more, for a discovery that is slow.
+    /// Timeout for the first complete line of the next watch. It does not keep growing: otherwise
+    /// timeouts in a row, from the moment discovery is back, could exceed the period after which
+    /// all its updates count as notified. Every third watch gets more time, for a slow discovery.
     pub fn open_timeout(&self) -> Span {
-        if self.silent_watches % SLOW_OPEN_PERIOD == SLOW_OPEN_PERIOD - 1 {
+        if self.watches_without_line % SLOW_OPEN_PERIOD == SLOW_OPEN_PERIOD - 1 {
             self.limits.watch_slow_open_timeout
         } else {
             self.limits.watch_open_timeout
         }
     }
 
-    /// How long to wait after a watch that ended. The jitter guards against all nodes asking in step.
-    pub fn next_delay(&mut self, ended: WatchOutcome, rng: &mut Pcg) -> Span {
-        self.silent_watches = if ended.answered {
+    /// Returns the delay before the next watch. Jitter keeps the nodes from reconnecting in step.
+    pub fn next_delay(&mut self, outcome: WatchOutcome, rng: &mut Pcg) -> Span {
+        self.watches_without_line = if outcome.received_line {
             0
         } else {
-            self.silent_watches + 1
+            self.watches_without_line + 1
         };
-        self.delay = if ended.version_changed {
+        self.delay = if outcome.version_changed {
             self.limits.watch_first_backoff
         } else {
             self.delay
-                .times(GROWTH)
+                .times(GROWTH_FACTOR)
                 .min(self.limits.watch_longest_backoff)
         };
         self.delay.times(MIN_JITTER + rng.unit())
--- a/crates/node/src/discovery/backoff/tests.rs
+++ b/crates/node/src/discovery/backoff/tests.rs
@@ -1,61 +1,63 @@
-//! When a watch is asked for again, in every order of silences.
+//! Time until the next watch is opened, for sequences of watches that time out.
 use super::*;
 
-/// A watch that brought an update.
+/// A watch that received an update.
 const UPDATED: WatchOutcome = WatchOutcome {
-    answered: true,
+    received_line: true,
     version_changed: true,
 };
-/// A watch that sent nothing whole.
+/// A watch that received no complete line.
 const SILENT: WatchOutcome = WatchOutcome {
-    answered: false,
+    received_line: false,
     version_changed: false,
 };
 
-/// What a watch that falls silent missed counts as notified 6 s later, and 4 s after SIGHUP what a new discovery holds,
-/// whether or not it came: so another watch is asked for in time, also where one or two in a row say nothing.
+/// Updates that a silent watch has missed count as notified after 6 s, and the list of a newly
+/// configured discovery 4 s after SIGHUP, received or not. Another watch has to be opened before
+/// that, even if one or two in a row time out.
 #[test]
-fn silences_in_a_row_are_over_before_all_counts_as_told() {
+fn timeouts_in_a_row_end_before_updates_count_as_notified() {
     let limits = Limits::default();
     for seed in 0..200 {
         let mut rng = Pcg::new(seed);
-        // One that stood falls silent; the next says nothing; when is the one behind it asked for?
+        // An established watch times out, the next receives nothing: when is the third opened?
         let mut backoff = Backoff::new(&limits);
-        let stood = limits.watch_silence_timeout + backoff.next_delay(UPDATED, &mut rng);
-        let next = stood + backoff.open_timeout() + backoff.next_delay(SILENT, &mut rng);
-        assert!(next < Span::ms(5_000), "asked after {next:?}");
-        // A discovery just named: two in a row say nothing.
+        let established = limits.watch_silence_timeout + backoff.next_delay(UPDATED, &mut rng);
+        let next = established + backoff.open_timeout() + backoff.next_delay(SILENT, &mut rng);
+        assert!(next < Span::ms(5_000), "opened after {next:?}");
+        // Newly configured discovery: the first two watches receive nothing.
         let mut backoff = Backoff::new(&limits);
         let first = backoff.open_timeout() + backoff.next_delay(SILENT, &mut rng);
         let second = first + backoff.open_timeout() + backoff.next_delay(SILENT, &mut rng);
-        assert!(second < Span::ms(3_500), "asked after {second:?}");
+        assert!(second < Span::ms(3_500), "opened after {second:?}");
     }
 }
 
-/// Discovery is away for any number of watches and back at the worst moment, just after one was asked for in vain; the first
-/// one after that falls silent too. The one behind it is asked for before what discovery had counts as notified (6 s).
+/// Discovery is unavailable for any number of watches, and returns at the worst moment: just after
+/// a failed watch was opened. The first watch after that times out too. The one after it has to be
+/// opened before the updates of discovery count as notified (6 s).
 #[test]
-fn however_long_discovery_was_away_two_silences_after_it_is_back_are_over_in_time() {
+fn two_timeouts_end_in_time_after_any_outage_of_discovery() {
     let limits = Limits::default();
-    for away in 0..40 {
+    for outage in 0..40 {
         for seed in 0..50 {
             let mut rng = Pcg::new(seed);
             let mut backoff = Backoff::new(&limits);
             let mut longest = Span::ZERO;
-            for _ in 0..away {
+            for _ in 0..outage {
                 backoff.next_delay(SILENT, &mut rng);
                 longest = longest.max(backoff.open_timeout());
             }
-            let vain = backoff.open_timeout() + backoff.next_delay(SILENT, &mut rng);
-            let silent = vain + backoff.open_timeout() + backoff.next_delay(SILENT, &mut rng);
+            let failed = backoff.open_timeout() + backoff.next_delay(SILENT, &mut rng);
+            let second = failed + backoff.open_timeout() + backoff.next_delay(SILENT, &mut rng);
             assert!(
-                silent < Span::ms(5_800),
-                "away for {away}: asked after {silent:?}"
+                second < Span::ms(5_800),
+                "outage of {outage} watches: opened after {second:?}"
             );
-            // One that is slow to speak gets its time now and then.
+            // A slow discovery regularly gets the longer timeout.
             assert!(
-                away < 3 || longest == limits.watch_slow_open_timeout,
-                "away for {away}: {longest:?}"
+                outage < 3 || longest == limits.watch_slow_open_timeout,
+                "outage of {outage} watches: longest timeout {longest:?}"
             );
         }
     }
--- a/crates/node/src/discovery/decoder.rs
+++ b/crates/node/src/discovery/decoder.rs
@@ -1,23 +1,24 @@
-//! Decodes what a watch sends: an empty line, or an object in one line or, indented, in several.
+//! Decodes watch events: empty lines, and JSON objects in one line or, indented, in several.
 use crate::config::EndpointListUpdate;
 
 #[cfg(test)]
 mod tests;
 
-/// What a watch sends.
+/// An event of a watch.
 #[derive(Debug)]
 pub enum WatchEvent {
-    /// An empty line: discovery is alive and has nothing new.
+    /// An empty line: discovery is alive and has no update.
     KeepAlive,
-    /// An endpoint list, whole or as changes.
+    /// An endpoint list, full or as changes.
     Update(EndpointListUpdate),
-    /// No endpoint list.
+    /// Anything else.
     Malformed,
 }
 
-/// The next whole event and its length in bytes, once it is there. An object may go on behind a line that opens
-/// something or ends in a comma, up to the line that stands as far left as its first; so each line is read once, and none
-/// is waited for that a malformed one can't have.
+/// Returns the next complete event and its length in bytes; `None` while it is incomplete. An
+/// object whose first line ends in `{`, `[` or `,` continues up to the first line that is indented
+/// no deeper than its first. Line ends and indentation alone thus decide where an event ends: each
+/// line is read once, and after a malformed one no line is awaited that would never arrive.
 pub fn next_event(text: &[u8]) -> Option<(WatchEvent, usize)> {
     let mut lines = text
         .split_inclusive(|byte| *byte == b'\n')
--- a/crates/node/src/discovery/watch.rs
+++ b/crates/node/src/discovery/watch.rs
@@ -19,57 +19,58 @@
 use crate::http::{self, Body};
 use crate::resp::Parsed;
 
-/// Status of an answer that is a watch.
+/// HTTP status of a watch response.
 const STATUS_OK: u16 = 200;
 
 /// Why a watch ended.
 #[derive(Debug, Error)]
 pub(super) enum WatchError {
-    #[error("the watch ended")]
-    Ended,
-    #[error("no connection in time")]
+    #[error("the response ended")]
+    EndOfStream,
+    #[error("connecting timed out")]
     ConnectTimedOut,
-    #[error("no connection")]
+    #[error("connecting failed")]
     ConnectFailed,
-    #[error("request not sent in time")]
+    #[error("sending the request timed out")]
     RequestTimedOut,
-    #[error("request not sent")]
+    #[error("sending the request failed")]
     RequestFailed,
-    #[error("silent")]
-    Silent,
-    #[error("connection broken")]
-    ConnectionBroken,
-    #[error("more bytes than a line may have")]
-    TooManyBytes,
-    #[error("the answer is no watch")]
-    NoWatch,
-    #[error("chunks that can't be read")]
+    #[error("no complete line received within the timeout")]
+    LineTimedOut,
+    #[error("reading from the connection failed")]
+    ReadFailed,
+    #[error("the HTTP head or a chunk is too long")]
+    MessageTooLong,
+    #[error("the response is malformed or its status is not 200")]
+    UnexpectedResponse,
+    #[error("a chunk is malformed or too long")]
     MalformedChunk,
-    #[error("an update that can't be read")]
+    #[error("an endpoint list update is malformed")]
     MalformedUpdate,
-    #[error("a line without end")]
-    EndlessLine,
+    #[error("a line is too long")]
+    LineTooLong,
 }
 
 /// A watch on discovery.
 pub(super) struct Watch {
     executor: Rc<EffectExecutor>,
     discovery: SocketAddr,
-    /// For the first whole line.
+    /// Timeout for the first complete line.
     open_timeout: Span,
     /// Notified at each update.
     updated: Rc<Notify>,
-    /// Version of the endpoint list that is known, and the one to ask for changes since; 0 asks for the whole list.
+    /// Version of the known endpoint list, since which changes are requested; 0 requests the full
+    /// list.
     version: u64,
-    /// Whether a whole line has come.
-    answered: bool,
-    /// When the last whole line came, or when the watch was begun.
+    /// Whether a complete line was received.
+    received_line: bool,
+    /// When the last complete line was received, or else when the watch was created.
     last_line_at: Time,
-    /// What has come, with the marks of chunks.
+    /// Received bytes that are not decoded yet: the head, then the encoded body.
     received: Buffer,
-    /// What has come, without them.
+    /// Received bytes of the decoded body that are not handled yet.
     text: Buffer,
-    /// How the body is sent, once the head is there.
+    /// How the body is delimited, once the head is parsed.
     body: Option<Body>,
 }
 
@@ -88,7 +89,7 @@
             open_timeout,
             updated,
             version,
-            answered: false,
+            received_line: false,
             last_line_at,
             received: Buffer::default(),
             text: Buffer::default(),
@@ -96,15 +97,15 @@
         }
     }
 
-    /// Version of the endpoint list that is known now.
+    /// Version of the known endpoint list.
     pub(super) fn version(&self) -> u64 {
         self.version
     }
 
-    /// What the watch has brought since it began with a version of the list.
+    /// What the watch has received; `version_before` is the version with which it was created.
     pub(super) fn outcome(&self, version_before: u64) -> WatchOutcome {
         WatchOutcome {
-            answered: self.answered,
+            received_line: self.received_line,
             version_changed: self.version != version_before,
         }
     }
@@ -119,7 +120,7 @@
             self.executor.sample_wall_clock();
             self.handle_events()?;
             if ended {
-                return Err(WatchError::Ended);
+                return Err(WatchError::EndOfStream);
             }
         }
     }
@@ -149,40 +150,44 @@
         Ok(stream)
     }
 
-    /// When the watch counts as silent. Guards against a watch that is taken for alive by half a line, a head without end,
-    /// or a byte now and then: the time for the next whole line runs from the last one.
-    fn silent_at(&self) -> Time {
+    /// Deadline for the next complete line, counted from the last one. Partial lines do not extend
+    /// it, as an endless head or a byte now and then would keep a dead watch open.
+    fn line_deadline(&self) -> Time {
         let limits = &self.executor.limits;
-        let silence = if self.answered {
+        let line_timeout = if self.received_line {
             limits.watch_silence_timeout
         } else {
             self.open_timeout
         };
-        self.last_line_at + silence
+        self.last_line_at + line_timeout
     }
 
-    /// Reads on; false at the end.
+    /// Reads more bytes; returns false at end-of-file.
     async fn read(&mut self, stream: &TcpStream) -> Result<bool, WatchError> {
-        let silent_at = self.silent_at();
+        let line_deadline = self.line_deadline();
         let limits = &self.executor.limits;
         loop {
-            let ready = timeout_at(self.executor.clock.instant(silent_at), stream.readable()).await;
+            let ready = timeout_at(
+                self.executor.clock.instant(line_deadline),
+                stream.readable(),
+            )
+            .await;
             ready
-                .map_err(|_| WatchError::Silent)?
-                .map_err(|_| WatchError::ConnectionBroken)?;
-            // Guards against a dribble that is always at hand by the time that the wait is begun.
-            if self.executor.clock.now() >= silent_at {
-                return Err(WatchError::Silent);
+                .map_err(|_| WatchError::LineTimedOut)?
+                .map_err(|_| WatchError::ReadFailed)?;
+            // With bytes always ready to be read, the timeout above never fires.
+            if self.executor.clock.now() >= line_deadline {
+                return Err(WatchError::LineTimedOut);
             }
-            // Guards against a head, a chunk's mark or a body without end.
+            // An endless head or chunk must not exhaust the memory.
             let max_bytes = limits.endpoint_list_line_bytes + limits.http_head_bytes;
             if self.received.unread().len() > max_bytes {
-                return Err(WatchError::TooManyBytes);
+                return Err(WatchError::MessageTooLong);
             }
             match self.received.read(stream, limits.read_bytes) {
                 Ok(count) => return Ok(count > 0),
                 Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
-                Err(_) => return Err(WatchError::ConnectionBroken),
+                Err(_) => return Err(WatchError::ReadFailed),
             }
         }
     }
@@ -199,11 +204,12 @@
                 Ok(())
             }
             Parsed::Incomplete if self.received.unread().len() <= limits.http_head_bytes => Ok(()),
-            _ => Err(WatchError::NoWatch),
+            _ => Err(WatchError::UnexpectedResponse),
         }
     }
 
-    /// Moves the body that has come from `received` to `text`. `ended`, and the result: whether it ends there.
+    /// Decodes received bytes of the body from `received` to `text`. Both `ended` and the result
+    /// tell whether the body ends there.
     fn decode_body(&mut self, ended: bool) -> Result<bool, WatchError> {
         match self.body {
             Some(Body::Chunked) => self.decode_chunks(ended),
@@ -235,7 +241,7 @@
         }
     }
 
-    /// Handles all events that are whole.
+    /// Handles all complete events.
     fn handle_events(&mut self) -> Result<(), WatchError> {
         while let Some((event, length)) = next_event(self.text.unread()) {
             match event {
@@ -246,18 +252,18 @@
                     self.updated.notify_one();
                 }
                 WatchEvent::Malformed => {
-                    // It may have held a change: the whole list is asked for again.
+                    // It may have contained a change: the next watch requests the full list.
                     self.version = 0;
                     return Err(WatchError::MalformedUpdate);
                 }
             }
             self.last_line_at = self.executor.clock.now();
-            self.answered = true;
+            self.received_line = true;
             self.executor.on_discovery_update();
             self.text.consume(length);
         }
         if self.text.unread().len() > self.executor.limits.endpoint_list_line_bytes {
-            return Err(WatchError::EndlessLine);
+            return Err(WatchError::LineTooLong);
         }
         Ok(())
     }
--- a/crates/node/src/effects.rs
+++ b/crates/node/src/effects.rs
@@ -52,7 +52,7 @@
     discovery_event_received: Cell<bool>,
     discovery_updated: Notify,
     /// Bytes used by or reserved for clients' buffers and large responses, in all.
-    pub client_buffer_bytes: Cell<usize>,
+    pub reserved_buffer_bytes: Cell<usize>,
     /// Notified when buffered bytes have been freed.
     pub capacity_freed: Notify,
     /// Scratch buffer for bytes that are read only to be discarded.
@@ -74,7 +74,7 @@
             client_closed: Notify::new(),
             discovery_event_received: Cell::new(false),
             discovery_updated: Notify::new(),
-            client_buffer_bytes: Cell::new(0),
+            reserved_buffer_bytes: Cell::new(0),
             capacity_freed: Notify::new(),
             discard_buffer: RefCell::new(vec![0; discard_bytes]),
         })
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown at SIGTERM: the node goes on serving while it may, answers all API calls that it has taken, and ends.
+//! Graceful shutdown on SIGTERM or SIGINT: the node keeps serving for as long as it may, responds
+//! to all accepted API calls, and exits.
 use std::future::Future;
 use std::io;
 use std::rc::Rc;
@@ -12,7 +13,8 @@
 use crate::limits::Limits;
 use crate::reducer::Reducer;
 
-/// Ready at SIGTERM or SIGINT. From this call on, neither ends the process at once.
+/// Returns a future that is ready at SIGTERM or SIGINT. From this call on, neither signal
+/// terminates the process by itself.
 pub fn stop_signal() -> io::Result<impl Future<Output = ()>> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -24,33 +26,34 @@
     })
 }
 
-/// The steps of a shutdown, counted from SIGTERM.
+/// The steps of a shutdown, as durations from the signal.
 #[derive(Clone, Copy)]
 struct Schedule {
-    /// Until when clients are served on.
-    serve: Span,
-    /// Until when all is answered.
-    respond: Span,
-    /// When clients that are still there are closed.
-    disconnect: Span,
-    /// The end.
-    limit: Span,
-    /// From when on a further stall does not put off the end.
-    final_reads: Span,
+    /// Until when clients are served as usual.
+    serve_until: Span,
+    /// When all API calls must have responses.
+    respond_by: Span,
+    /// When clients that are still connected are drained.
+    disconnect_at: Span,
+    /// When the process exits at the latest, unless it has just stalled.
+    exit_at: Span,
+    /// From when on a stall no longer postpones the exit.
+    postpone_until: Span,
 }
 
 impl Schedule {
     fn of(limits: &Limits) -> Schedule {
         Schedule {
-            serve: limits.shutdown_serve,
-            respond: limits.shutdown_respond,
-            disconnect: limits.shutdown_disconnect,
-            limit: limits.shutdown_limit,
-            final_reads: limits.shutdown_final_reads,
+            serve_until: limits.shutdown_serve,
+            respond_by: limits.shutdown_respond,
+            disconnect_at: limits.shutdown_disconnect,
+            exit_at: limits.shutdown_limit,
+            postpone_until: limits.shutdown_final_reads,
         }
     }
 
-    /// The schedule by the settings, also by those that were replaced shortly before.
+    /// The schedule of the current settings, combined with that of settings replaced shortly
+    /// before.
     fn current(executor: &EffectExecutor) -> Schedule {
         executor.query(|reducer| {
             let schedule = Schedule::of(reducer.limits());
@@ -61,24 +64,24 @@
         })
     }
 
-    /// The earlier time of each step. Guards against settings with shorter client timeouts that come amid the shutdown:
-    /// the kill follows the longest timeout that they tell.
+    /// Takes the earlier time of each step. Settings with shorter client timeouts may be loaded
+    /// during the shutdown, and SIGKILL follows after the longest client timeout that they name.
     fn earliest(self, other: Schedule) -> Schedule {
         Schedule {
-            serve: self.serve.min(other.serve),
-            respond: self.respond.min(other.respond),
-            disconnect: self.disconnect.min(other.disconnect),
-            limit: self.limit.min(other.limit),
-            final_reads: self.final_reads.min(other.final_reads),
+            serve_until: self.serve_until.min(other.serve_until),
+            respond_by: self.respond_by.min(other.respond_by),
+            disconnect_at: self.disconnect_at.min(other.disconnect_at),
+            exit_at: self.exit_at.min(other.exit_at),
+            postpone_until: self.postpone_until.min(other.postpone_until),
         }
     }
 }
 
-/// Waits for `stop`, and then until the node may end. The node goes on serving its clients for nearly as long as
-/// operators allow, as they may have no other node yet.
+/// Waits for `stop`, and then until the node may exit. The node keeps serving its clients for
+/// nearly as long as operators allow, as the clients may have no other node yet.
 ///
-/// Where the next process accepts clients from the same socket, `listener_is_shared`, accepting ends at once, and clients
-/// are closed between answers from then on, so that they connect to the next process.
+/// With `listener_is_shared`, the next process accepts clients from the same socket. Accepting then
+/// stops at once, and clients are closed between responses, so that they connect to that process.
 pub async fn run(
     executor: Rc<EffectExecutor>,
     stop: impl Future<Output = ()>,
@@ -103,20 +106,20 @@
     );
 }
 
-/// A shutdown that is under way.
+/// A shutdown in progress.
 struct Shutdown {
     executor: Rc<EffectExecutor>,
-    /// When the signal came.
+    /// When the signal was sent.
     signalled_at: Time,
     schedule: Schedule,
-    /// None once no client is accepted any more.
+    /// `None` once no more clients are accepted.
     acceptor: Option<Acceptor>,
     /// Whether the next process accepts clients from the same socket.
     listener_is_shared: bool,
     last_poll_at: Time,
-    /// Whether the process ends as soon as the clients at hand have.
-    ending: bool,
-    /// Polls for clients that have not ended when the time is up.
+    /// Whether the process exits as soon as the connected clients are closed.
+    exiting: bool,
+    /// Remaining polls for clients that are still connected at the exit deadline.
     final_polls: u32,
 }
 
@@ -126,7 +129,7 @@
         acceptor: Acceptor,
         listener_is_shared: bool,
     ) -> Shutdown {
-        // Guards against a signal that is seen late, as the process stalled: the kill counts from its coming.
+        // After a stall the signal is seen late, but SIGKILL is timed from when it was sent.
         let signalled_at = executor.report(|reducer, now| now - reducer.stall_duration(now));
         Shutdown {
             signalled_at,
@@ -134,7 +137,7 @@
             acceptor: Some(acceptor),
             listener_is_shared,
             last_poll_at: executor.clock.now(),
-            ending: false,
+            exiting: false,
             final_polls: executor.limits.shutdown_final_polls,
             executor,
         }
@@ -146,34 +149,36 @@
         }
     }
 
-    /// Waits for the next poll and does what is due by then; true once the node may end.
+    /// Waits for the next poll and performs the steps that are due; returns whether the node may
+    /// exit.
     async fn poll(&mut self) -> bool {
         let executor = self.executor.clone();
         let limits = &executor.limits;
         self.schedule = self.schedule.earliest(Schedule::current(&executor));
-        let respond_by = self.signalled_at + self.schedule.respond;
+        let respond_by = self.signalled_at + self.schedule.respond_by;
         executor.report(|reducer, _| reducer.set_response_deadline(respond_by));
         tokio::time::sleep(duration(limits.shutdown_poll_interval)).await;
         let now = executor.clock.now();
-        let is_late = now - self.last_poll_at > limits.stall_threshold;
+        let has_stalled = now - self.last_poll_at > limits.stall_threshold;
         self.last_poll_at = now;
         let elapsed = now - self.signalled_at;
-        if self.listener_is_shared || elapsed >= self.schedule.serve {
+        if self.listener_is_shared || elapsed >= self.schedule.serve_until {
             executor.report(|reducer, now| reducer.on_shutdown(now));
         }
-        // Guards against clients whose next command always comes in time: at the end of the process it would be cut off.
-        if self.ending || elapsed >= self.schedule.disconnect {
+        // A client that sends commands back to back would always have one open, which the exit of
+        // the process would cut off.
+        if self.exiting || elapsed >= self.schedule.disconnect_at {
             self.drain_clients();
         }
-        if !self.ending {
-            self.ending = elapsed >= self.schedule.limit || self.is_done(now);
-            if self.ending {
+        if !self.exiting {
+            self.exiting = elapsed >= self.schedule.exit_at || self.is_idle(now);
+            if self.exiting {
                 self.stop_accepting().await;
             }
-            // Who was accepted last has still to be read.
+            // The commands of clients that were accepted last have yet to be read.
             return false;
         }
-        self.is_over(elapsed, is_late)
+        self.may_exit(elapsed, has_stalled)
     }
 
     fn drain_clients(&self) {
@@ -187,7 +192,7 @@
         }
     }
 
-    /// Clients whose connections have not been ended.
+    /// Number of clients to which responses may still be sent.
     fn open_client_count(&self) -> usize {
         let clients = self.executor.clients.borrow();
         clients
@@ -196,8 +201,8 @@
             .count()
     }
 
-    /// Whether all is answered and no new client is expected.
-    fn is_done(&self, now: Time) -> bool {
+    /// Whether all API calls have responses, no client is connected and no new one is expected.
+    fn is_idle(&self, now: Time) -> bool {
         let limits = &self.executor.limits;
         let is_quiet = self.acceptor.as_ref().is_none_or(|acceptor| {
             now - acceptor.last_accepted() >= limits.shutdown_quiet
@@ -208,18 +213,18 @@
             && self.executor.clients.borrow().is_empty()
     }
 
-    /// Whether every client has ended, or the time for that is up.
-    fn is_over(&mut self, elapsed: Span, is_late: bool) -> bool {
-        let time_is_up = elapsed >= self.schedule.limit;
-        let calls_are_answered = self.executor.query(Reducer::open_call_count) == 0;
-        if self.open_client_count() == 0 && (calls_are_answered || time_is_up) {
+    /// Whether every client is closed, or the time for that has run out.
+    fn may_exit(&mut self, elapsed: Span, has_stalled: bool) -> bool {
+        let deadline_passed = elapsed >= self.schedule.exit_at;
+        let no_open_calls = self.executor.query(Reducer::open_call_count) == 0;
+        if self.open_client_count() == 0 && (no_open_calls || deadline_passed) {
             return true;
         }
-        if !time_is_up {
+        if !deadline_passed {
             return false;
         }
-        // Guards against a process that was stalled and ends unread what came meanwhile.
-        if is_late && elapsed < self.schedule.final_reads {
+        // After a stall, commands that arrived meanwhile are read before the exit.
+        if has_stalled && elapsed < self.schedule.postpone_until {
             self.final_polls = self.executor.limits.shutdown_final_polls;
         }
         self.final_polls = self.final_polls.saturating_sub(1);
--- a/crates/node/src/upstreams/body_reader.rs
+++ b/crates/node/src/upstreams/body_reader.rs
@@ -85,7 +85,7 @@
         }
         if !self.reserve(executor, body.bytes.capacity() + buffer.capacity()) {
             let address = self.address;
-            tracing::warn!(server = %address, "no memory to buffer a response of {address}");
+            tracing::warn!(server = %address, "no memory to buffer a response from {address}");
             return Parsed::Malformed;
         }
         if appended == Parsed::Incomplete {
--- a/crates/node/src/upstreams/memory_budget.rs
+++ b/crates/node/src/upstreams/memory_budget.rs
@@ -12,12 +12,12 @@
         } else {
             0
         };
-        let others = executor.client_buffer_bytes.get() - self.reserved_bytes.get();
+        let others = executor.reserved_buffer_bytes.get() - self.reserved_bytes.get();
         let fits = bytes == 0
             || others + bytes + executor.query(Reducer::buffered_bytes)
                 <= executor.limits.buffered_bytes;
         let bytes = if fits { bytes } else { 0 };
-        executor.client_buffer_bytes.set(others + bytes);
+        executor.reserved_buffer_bytes.set(others + bytes);
         if bytes < self.reserved_bytes.replace(bytes) {
             executor.capacity_freed.notify_waiters();
         }
