--- a/crates/node/src/clients/accept.rs
+++ b/crates/node/src/clients/accept.rs
@@ -22,8 +22,8 @@
 const MAX_FINAL_ACCEPTS: usize = 1024;
 
 /// Listens on an address; retries while the address is in use.
-pub async fn listen(on: SocketAddr, clock: Clock, limits: &Limits) -> io::Result<TcpListener> {
-    bind_with_retry(on, clock, limits, || TcpListener::bind(on)).await
+pub async fn listen(address: SocketAddr, clock: Clock, limits: &Limits) -> io::Result<TcpListener> {
+    bind_with_retry(address, clock, limits, || TcpListener::bind(address)).await
 }
 
 /// The task that accepts clients.
@@ -38,7 +38,7 @@
     pub fn start(executor: Rc<EffectExecutor>, listener: TcpListener) -> Acceptor {
         let last_accepted = Rc::new(Cell::new(executor.clock.now()));
         let stop_requested = Rc::new(Notify::new());
-        let accepting = Accepting {
+        let accept_loop = AcceptLoop {
             executor,
             listener,
             last_accepted: last_accepted.clone(),
@@ -47,7 +47,7 @@
             failures: AcceptFailures::default(),
         };
         Acceptor {
-            task: tokio::task::spawn_local(accepting.run(stop_requested.clone())),
+            task: tokio::task::spawn_local(accept_loop.run(stop_requested.clone())),
             last_accepted,
             stop_requested,
         }
@@ -73,7 +73,8 @@
     }
 }
 
-struct Accepting {
+/// The state of the task that accepts clients.
+struct AcceptLoop {
     executor: Rc<EffectExecutor>,
     listener: TcpListener,
     last_accepted: Rc<Cell<Time>>,
@@ -84,7 +85,7 @@
     failures: AcceptFailures,
 }
 
-impl Accepting {
+impl AcceptLoop {
     async fn run(mut self, stop_requested: Rc<Notify>) {
         tokio::select! {
             () = self.accept_all() => {}
--- a/crates/node/src/clients/memory_budget.rs
+++ b/crates/node/src/clients/memory_budget.rs
@@ -29,7 +29,7 @@
     /// the wait times out. This keeps many large commands from exhausting the memory, and from
     /// blocking each other with partial reservations. During the wait nothing is read from the
     /// client.
-    pub async fn grow_when_free(&mut self, bytes: usize) -> bool {
+    pub async fn reserve_when_free(&mut self, bytes: usize) -> bool {
         let executor = self.executor;
         let deadline = executor
             .clock
--- a/crates/node/src/clients/reading.rs
+++ b/crates/node/src/clients/reading.rs
@@ -38,7 +38,7 @@
         let requested_at = executor.clock.now();
         let admitted = self.large_command.is_some()
             || tokio::select! {
-                reserved = self.reservation.grow_when_free(size) => reserved,
+                reserved = self.reservation.reserve_when_free(size) => reserved,
                 () = self.client.disconnected() => return Break(()),
             };
         if !admitted {
--- a/crates/node/src/messages.rs
+++ b/crates/node/src/messages.rs
@@ -147,7 +147,7 @@
     pub product: Option<&'a str>,
     /// Name of the tenant.
     pub tenant: Option<&'a str>,
-    /// Remaining time until the client's timeout, as the client sent it.
+    /// Remaining time until the client times out.
     pub time_left: Span,
     /// Queueing time of the command behind other commands of its client, included in `time_left`.
     pub queued: Span,
--- a/crates/node/src/upstreams.rs
+++ b/crates/node/src/upstreams.rs
@@ -87,7 +87,7 @@
     Partial,
     /// The client has disconnected; the rest is not written.
     ClientDisconnected,
-    /// The connection can't be length any more.
+    /// The connection can't be used any more.
     ConnectionBroken,
 }
 
