--- a/crates/node/src/clients/accept.rs
+++ b/crates/node/src/clients/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections, while there is capacity for them.
+//! Accepts clients' connections while there is capacity for them.
 use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
@@ -18,12 +18,12 @@
 use crate::messages::AcceptCapacity;
 use crate::system::{bind_with_retry, is_readable};
 
-/// Tries to accept who waits as accepting ends.
+/// Most connections accepted from the listen queue when accepting is stopped.
 const MAX_FINAL_ACCEPTS: usize = 1024;
 
-/// Listens on an address, once it is free.
-pub async fn listen(on: SocketAddr, clock: Clock, limits: &Limits) -> io::Result<TcpListener> {
-    bind_with_retry(on, clock, limits, || TcpListener::bind(on)).await
+/// Listens on an address; retries while the address is in use.
+pub async fn listen(address: SocketAddr, clock: Clock, limits: &Limits) -> io::Result<TcpListener> {
+    bind_with_retry(address, clock, limits, || TcpListener::bind(address)).await
 }
 
 /// The task that accepts clients.
@@ -34,55 +34,58 @@
 }
 
 impl Acceptor {
-    /// Accepts connections from now on, while there is capacity for them.
+    /// Starts to accept connections while there is capacity for them.
     pub fn start(executor: Rc<EffectExecutor>, listener: TcpListener) -> Acceptor {
         let last_accepted = Rc::new(Cell::new(executor.clock.now()));
         let stop_requested = Rc::new(Notify::new());
-        let accepting = Accepting {
+        let accept_loop = AcceptLoop {
             executor,
             listener,
             last_accepted: last_accepted.clone(),
             paused_since: None,
-            attempts: 0,
+            accept_count: 0,
             failures: AcceptFailures::default(),
         };
         Acceptor {
-            task: tokio::task::spawn_local(accepting.run(stop_requested.clone())),
+            task: tokio::task::spawn_local(accept_loop.run(stop_requested.clone())),
             last_accepted,
             stop_requested,
         }
     }
 
-    /// When the last connection was accepted, or accepting began.
+    /// When the last connection was accepted, or accepting started.
     pub fn last_accepted(&self) -> Time {
         self.last_accepted.get()
     }
 
-    /// Accepts what lies in the listen queue and closes the socket.
+    /// Accepts the connections in the listen queue, then closes the socket.
     pub async fn stop(self) {
         self.stop_requested.notify_one();
         let _ = self.task.await;
     }
 
-    /// Closes the socket and leaves the listen queue to the process that it is shared with.
+    /// Closes the socket at once; the listen queue is left to the process that shares the socket.
     pub async fn abort(self) {
         self.task.abort();
-        // The task owns the socket: once it has ended, no connection can come that nobody reads.
+        // The task owns the socket: once it has ended, it can't accept a connection that is then
+        // lost.
         let _ = self.task.await;
     }
 }
 
-struct Accepting {
+/// The state of the task that accepts clients.
+struct AcceptLoop {
     executor: Rc<EffectExecutor>,
     listener: TcpListener,
     last_accepted: Rc<Cell<Time>>,
-    /// Since when clients may wait in the listen queue, as nobody is accepted.
+    /// Start of the current pause in accepting: clients may have waited in the queue since then.
     paused_since: Option<Time>,
-    attempts: usize,
+    /// Calls of accept so far; counted to let other tasks run at regular intervals.
+    accept_count: usize,
     failures: AcceptFailures,
 }
 
-impl Accepting {
+impl AcceptLoop {
     async fn run(mut self, stop_requested: Rc<Notify>) {
         tokio::select! {
             () = self.accept_all() => {}
@@ -93,8 +96,9 @@
 
     async fn accept_all(&mut self) {
         loop {
-            // Guards against spinning on an accept that can't succeed: with all descriptors in use, an idle
-            // connection is closed, and the next client is accepted when there is one.
+            // With all descriptors in use, accept fails at once and would be retried in a busy
+            // loop. Instead an idle connection is closed, and the next client is accepted after
+            // that.
             match self.free_capacity() {
                 AcceptCapacity::Free => self.accept_next().await,
                 AcceptCapacity::Soon => tokio::task::yield_now().await,
@@ -103,19 +107,20 @@
         }
     }
 
-    /// Accepts who waits already, as the socket itself has it: the runtime may not have looked since a stall.
+    /// Accepts connections that are already queued. Polls the socket directly, as after a stall the
+    /// runtime may not have seen them yet.
     async fn empty_listen_queue(&mut self) {
         for _ in 0..MAX_FINAL_ACCEPTS {
             if !is_readable(&self.listener) || self.free_capacity() != AcceptCapacity::Free {
                 return;
             }
-            // The runtime looks at its sockets.
+            // Lets the runtime poll its sockets.
             tokio::task::yield_now().await;
             tokio::select! {
                 biased;
                 accepted = self.listener.accept() => match accepted {
                     Ok((stream, _)) => self.serve(stream),
-                    Err(error) => tracing::info!(%error, "accept failed at the end: {error}"),
+                    Err(error) => tracing::info!(%error, "accept failed during shutdown: {error}"),
                 },
                 () = std::future::ready(()) => {}
             }
@@ -142,9 +147,9 @@
     }
 
     async fn accept_next(&mut self) {
-        self.attempts += 1;
+        self.accept_count += 1;
         if self
-            .attempts
+            .accept_count
             .is_multiple_of(self.executor.limits.commands_per_turn)
         {
             tokio::task::yield_now().await;
@@ -152,7 +157,7 @@
         let accepted = tokio::select! {
             biased;
             accepted = self.listener.accept() => accepted,
-            // Nobody waits.
+            // The listen queue is empty.
             () = std::future::ready(()) => {
                 self.paused_since = None;
                 self.listener.accept().await
@@ -181,7 +186,7 @@
 
     async fn on_failure(&mut self, error: io::Error) {
         if self.failures.on_failure(&error) == AcceptRetry::AtOnce {
-            tracing::info!(%error, "accept failed for a connection that has gone: {error}");
+            tracing::info!(%error, "accept failed for one connection only: {error}");
             return;
         }
         self.pause();
