--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -1,4 +1,5 @@
-//! Every limit of the node: sizes, counts and times. Filled once at start and handed down.
+//! All limits of the node: sizes, counts and durations. Computed once at the start and passed to
+//! every component.
 mod derived;
 mod fixed;
 mod machine_limits;
@@ -9,212 +10,227 @@
 
 pub use machine_limits::MachineLimits;
 
-/// Every limit of the node, grouped by what it bounds.
+/// All limits of the node, grouped by what they bound.
 #[derive(Debug, Clone)]
 pub struct Limits {
     // Connections.
-    /// Connections from clients and to servers at once, together.
+    /// Most connections open at once, from clients and to servers together.
     pub sockets: usize,
-    /// How many of `sockets` only clients get, so that one more can be told something.
+    /// Of `sockets`, those reserved for clients, so that a further client can still get a response.
     pub client_only_sockets: usize,
-    /// How many of `sockets` only servers get.
+    /// Of `sockets`, those reserved for connections to servers.
     pub server_only_sockets: usize,
-    /// Idle clients kept that have made API calls: well under the third of all descriptors that clients hold at most.
+    /// Most clients that have made API calls and are kept while idle. Must be well under a third of
+    /// all descriptors, the most that clients together hold.
     pub idle_clients: usize,
-    /// Idle connections kept to one server.
+    /// Most idle connections kept to one server.
     pub idle_upstreams_per_server: usize,
-    /// Connections to servers beyond which none is kept idle.
+    /// Connections to servers, busy or idle, above which a connection is closed instead of kept
+    /// idle.
     pub pooled_upstreams: usize,
 
     // API calls.
-    /// API calls open at once.
+    /// Most open API calls of the node.
     pub open_calls: usize,
-    /// API calls open at once on one client's connection.
+    /// Most open API calls of one client connection.
     pub open_calls_per_client: usize,
-    /// Products whose answers are counted in the node's life.
+    /// Most products that get a response counter during the life of the process.
     pub counted_products: usize,
-    /// Servers that discovery may name in the node's life.
+    /// Most servers that discovery may name during the life of the process.
     pub known_servers: usize,
 
     // Sizes of commands and values.
-    /// Bytes of a value.
+    /// Longest value, in bytes.
     pub value_bytes: usize,
-    /// Bytes of a value up to which it is read whole and checked before any of it is forwarded.
+    /// Longest value, in bytes, that is received whole and checked before any of it is forwarded.
     pub buffered_value_bytes: usize,
-    /// Bytes of an argument of a command that is no value.
+    /// Longest argument of a command, in bytes, other than its value.
     pub argument_bytes: usize,
-    /// Arguments of a command, its name included.
+    /// Most arguments of a command, its name included.
     pub command_arguments: usize,
 
-    // Sizes of answers.
-    /// Bytes of a line of a RESP reply that is no value.
+    // Sizes of responses.
+    /// Longest line of a RESP reply, in bytes, other than a value.
     pub reply_line_bytes: usize,
-    /// Bytes of the word of a RESP reply on how the command went.
+    /// Longest status of a RESP reply, such as `BUSY`, in bytes.
     pub reply_status_bytes: usize,
-    /// Items of an array in a RESP reply.
+    /// Most items of an array in a RESP reply.
     pub reply_array_items: usize,
-    /// How deep arrays nest in a RESP reply, in levels.
+    /// Most levels of nested arrays in a RESP reply.
     pub reply_nesting: usize,
-    /// Fields in the head of an HTTP message.
+    /// Most header fields of an HTTP message.
     pub http_header_fields: usize,
-    /// Heads of 1xx answers ahead of an HTTP answer.
+    /// Most 1xx responses before the final HTTP response.
     pub http_interim_responses: usize,
-    /// Bytes of the head of an HTTP answer.
+    /// Longest head of an HTTP response, in bytes.
     pub http_head_bytes: usize,
-    /// Bytes of one line of an endpoint list.
+    /// Longest line of an endpoint list, in bytes.
     pub endpoint_list_line_bytes: usize,
 
     // Memory.
-    /// Bytes of values, unwritten answers and partial commands in all; beyond it new API calls are rejected, and
-    /// large commands wait.
+    /// Most bytes of buffered values, unwritten responses and partial commands. Above it, new API
+    /// calls are rejected and large commands wait for memory.
     pub buffered_bytes: usize,
-    /// Bytes under which an answer is never too long to be buffered.
+    /// Responses shorter than this, in bytes, are buffered even when `buffered_bytes` is used up.
     pub short_response_bytes: usize,
-    /// Bytes of buffer that a connection with nothing in it keeps.
+    /// Capacity that the buffer of a connection keeps while it is empty, in bytes.
     pub idle_buffer_bytes: usize,
-    /// Bytes of a streamed value that the node holds at most.
+    /// Most bytes of a streamed value that the node buffers.
     pub streaming_window_bytes: usize,
-    /// Bytes asked of a socket in one read.
+    /// Most bytes read from a socket at once.
     pub read_bytes: usize,
     /// How long a client with a large command waits for memory.
     pub capacity_wait: Span,
 
     // Connections to servers.
-    /// For a connection to a server to be up.
+    /// Timeout of a connect to a server.
     pub connect_timeout: Span,
-    /// After which an idle connection to a server is closed: before the server does.
+    /// Time after which an idle connection to a server is closed; shorter than the server's own
+    /// timeout.
     pub upstream_idle_timeout: Span,
-    /// How long a connection to a server is idle before it is used again, so that stray bytes are seen.
+    /// How long a connection to a server must have been idle before its next request, so that stray
+    /// bytes of an earlier response are noticed.
     pub upstream_reuse_delay: Span,
-    /// How much longer than an attempt tells its server may be left at its first byte than at its last.
+    /// By how much the time left when the last byte of a request is written may fall short of the
+    /// time left that the request states.
     pub deadline_slack: Span,
-    /// Part of the time left, from 0 to 1, that a large value may take to be written beyond `deadline_slack`.
+    /// Fraction of the time left, from 0 to 1, that writing a large value may take in addition to
+    /// `deadline_slack`.
     pub large_value_write_share: f64,
-    /// From some of an answer to more of it.
+    /// Longest time between two reads of the same response.
     pub response_gap_timeout: Span,
-    /// How long the server or the client of a streamed value may stand still.
+    /// How long the server or the client of a streamed value may make no progress.
     pub streaming_stall_timeout: Span,
 
     // Connections of clients.
-    /// After which a client without an open API call is closed.
+    /// Time after which a client that has made API calls and has none open is closed.
     pub client_idle_timeout: Span,
-    /// After which a client is closed that has made no API call.
+    /// Time after which a client that has made no API call is closed.
     pub client_first_call_timeout: Span,
-    /// For a command, from its first byte to its last.
+    /// Longest time from the first byte of a command to its last.
     pub partial_command_timeout: Span,
-    /// For a client's first command, from the client's connect.
+    /// Longest time from a client's connect to the last byte of its first command.
     pub partial_first_command_timeout: Span,
-    /// For a large command that goes on coming.
+    /// Longest time for a large command whose bytes keep arriving.
     pub large_command_timeout: Span,
-    /// For a client to take an answer.
+    /// Longest time for a client to read a response.
     pub response_write_timeout: Span,
-    /// From when on an idle client that has made API calls may be closed for another.
+    /// Idle time after which a client that has made API calls may be closed to free a socket.
     pub client_evictable_after: Span,
-    /// From when on an idle client that has made no API call may be closed for another.
+    /// Idle time after which a client that has made no API call may be closed to free a socket.
     pub new_client_evictable_after: Span,
-    /// Commands of one client that are read before other clients have their turn.
+    /// Commands of one client that are read before other clients get a turn.
     pub commands_per_turn: usize,
-    /// Faulty commands after which a client is closed.
+    /// Number of invalid commands after which a client is closed.
     pub command_errors_per_client: usize,
-    /// For reading and dropping what a client sends that was told its fault, before it is closed.
+    /// How long the input of a rejected client is read and discarded before its connection is
+    /// closed.
     pub discard_timeout: Span,
-    /// Bytes that are read and dropped from such a client.
+    /// Most bytes that are read and discarded from such a client.
     pub discard_bytes: usize,
-    /// For reading and dropping what a draining client sends, before it is closed.
+    /// How long the input of a draining client is read and discarded before its connection is
+    /// closed.
     pub linger_timeout: Span,
-    /// For what lies unread at a client that is to be closed to be at hand.
+    /// How long a client that is about to be closed is still read, so that bytes which have already
+    /// arrived are seen.
     pub final_read_window: Span,
 
     // Deadlines.
-    /// Longest client timeout that a client may name.
+    /// Upper bound on the client timeout that a client states.
     pub longest_client_timeout: Span,
-    /// Part of the client's wait that is kept for the way there and back.
+    /// Part of the client timeout that is set aside for the network between client and node, both
+    /// ways.
     pub network_allowance: Span,
-    /// After its client timeout, when an API call without an answer is ended.
+    /// Time after its client timeout at which an API call without a final response is ended with an
+    /// error.
     pub call_overdue_after: Span,
-    /// Lateness of the policy's timer from which on the process counts as having been stalled.
+    /// Lateness of the policy's timer above which the process counts as having stalled.
     pub stall_threshold: Span,
-    /// How long after a stall what is read counts as having waited for as long as the stall.
+    /// Time after a stall within which bytes that are read count as having waited for the whole
+    /// stall.
     pub stall_read_window: Span,
 
     // Listening.
-    /// Between two attempts to listen on an address that is in use.
+    /// Delay between two attempts to listen on an address that is in use.
     pub listen_retry_interval: Span,
-    /// For all attempts to listen on an address that is in use.
+    /// How long attempts to listen on an address that is in use are repeated.
     pub listen_retry_limit: Span,
-    /// After an accept that failed for want of descriptors.
+    /// Delay after an accept that failed because descriptors or other resources ran out.
     pub accept_retry_interval: Span,
 
     // Discovery.
-    /// Without a whole line on a watch after which it is opened again: more than the time between two keep-alives, less
-    /// than the time after which all that discovery has counts as notified.
+    /// How long a watch may deliver no whole line before it is reopened: longer than the interval
+    /// of discovery's keep-alives, shorter than the time after which the node counts as notified of
+    /// every update.
     pub watch_silence_timeout: Span,
-    /// For the first whole line of a watch that was just opened.
+    /// Timeout for the first whole line of a watch that was just opened.
     pub watch_open_timeout: Span,
-    /// The same for each third one in a row, as an agent may be slow.
+    /// The same for every third watch in a row without a line, as discovery may be slow.
     pub watch_slow_open_timeout: Span,
-    /// Backoff after a watch that brought an update.
+    /// Backoff after a watch that delivered an update.
     pub watch_first_backoff: Span,
     /// Longest backoff, before jitter.
     pub watch_longest_backoff: Span,
-    /// For the first update of discovery before clients are taken.
+    /// How long the start waits for the first update of discovery before clients are accepted.
     pub first_endpoint_list_timeout: Span,
-    /// For the first datagram of another node, with its drain overrides, before clients are taken.
+    /// How long the start waits for the first datagram of another node, which carries its drain
+    /// overrides, before clients are accepted.
     pub first_peer_timeout: Span,
 
-    // Shutdown; times are counted from SIGTERM.
-    /// Until when new connections are accepted at least.
+    // Shutdown; durations are measured from SIGTERM.
+    /// Shortest time for which new connections are still accepted.
     pub shutdown_accept: Span,
-    /// For how long no new connection must have come before the end.
+    /// How long no new connection may have been accepted before the process exits early.
     pub shutdown_quiet: Span,
-    /// Until when clients are served on.
+    /// Until when clients are served as before.
     pub shutdown_serve: Span,
-    /// Until when all API calls are answered.
+    /// Until when every API call gets its final response.
     pub shutdown_respond: Span,
-    /// When clients that are still there are closed.
+    /// When the clients that are still connected are closed.
     pub shutdown_disconnect: Span,
-    /// The end.
+    /// When the exit begins at the latest.
     pub shutdown_limit: Span,
-    /// From when on a further stall does not put off the end.
+    /// Time from which a further stall no longer postpones the exit.
     pub shutdown_final_reads: Span,
-    /// Polls at the end, or after a stall there, for clients to be read and closed.
+    /// Polls at the exit, or after a stall during it, in which clients are still read and closed.
     pub shutdown_final_polls: u32,
-    /// Between two polls of whether all is answered.
+    /// Delay between two polls of whether the shutdown is complete.
     pub shutdown_poll_interval: Span,
 
     // Reload.
-    /// How often a configuration that can't be read at SIGHUP is tried again.
+    /// Retries of reading a configuration file that can't be read at SIGHUP.
     pub reload_attempts: usize,
-    /// Between two of these tries.
+    /// Delay between two of these retries.
     pub reload_retry_interval: Span,
-    /// From new settings until all clients go by them.
+    /// Time from new settings until all clients use them.
     pub settings_propagation: Span,
 
-    // Draining of clients; times are counted from when operators ask for it, or SIGTERM hands clients over.
-    /// Until the front sends no new clients.
+    // Draining of clients; durations are measured from the operators' request, or from the SIGTERM
+    // of a process that hands its clients over.
+    /// Time until the front load balancer no longer sends new clients.
     pub leave_notice: Span,
-    /// From when on clients are closed in the shortest pause.
+    /// Time after which a client is closed as soon as it is idle, however briefly.
     pub leave_close_any_pause: Span,
-    /// From when on nothing more is read from clients.
+    /// Time after which no further commands are read from clients.
     pub leave_stop_reading: Span,
-    /// For the rest of a partial command.
+    /// How long a client that is about to be closed may take for the rest of a partial command.
     pub final_partial_command: Span,
 
-    // Operators' calls.
-    /// Operators' calls at once.
+    // Admin API.
+    /// Most connections to the admin API at once.
     pub admin_connections: usize,
-    /// For an operators' call, from its connect to the end of its answer.
+    /// Longest time for a request to the admin API, from its connect to the end of its response.
     pub admin_request_timeout: Span,
-    /// Bytes of the head of an operators' call.
+    /// Longest head of a request to the admin API, in bytes.
     pub admin_head_bytes: usize,
-    /// Bytes of the body of an operators' call.
+    /// Longest body of a request to the admin API, in bytes.
     pub admin_body_bytes: usize,
 
     // Log.
-    /// Log lines a second.
+    /// Sustained rate of log lines, per second.
     pub log_lines_per_second: f64,
-    /// Log lines at once, and those that wait to be written.
+    /// Most log lines in a burst, and most lines that wait to be written.
     pub log_burst_lines: f64,
-    /// For the last lines to be written at the end of the process.
+    /// How long the exit of the process waits for the last log lines to be written.
     pub log_flush_timeout: Span,
 }
--- a/crates/node/src/limits/derived.rs
+++ b/crates/node/src/limits/derived.rs
@@ -1,67 +1,69 @@
-//! The limits that the machine and the settings give.
+//! Limits derived from the machine and from the settings.
 use quartzhub_policy::Span;
 use quartzhub_settings::{products, Settings};
 
 use super::fixed::FIXED_LIMITS;
 use super::{Limits, MachineLimits};
 
-/// Descriptors for the listener, discovery, the event queue, signals, standard streams and what libraries open.
+/// Descriptors reserved for the listener, discovery, the event queue, signals, standard streams and
+/// libraries.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Least number of connections that is reckoned with.
+/// Lower bound of `sockets`, even if the machine allows fewer.
 const MIN_SOCKETS: usize = 8;
-/// Least number of connections that only clients get.
+/// Lower bound of `client_only_sockets`.
 const MIN_CLIENT_ONLY_SOCKETS: usize = 2;
 
-/// Bytes of a megabyte of the configuration.
+/// Bytes per megabyte, as the configuration counts them.
 const BYTES_PER_MB: f64 = 1e6;
-/// Least memory that is reckoned with, in megabytes.
+/// Lower bound of the memory that limits are derived from, in megabytes.
 const MIN_MEMORY_MB: f64 = 16.0;
-/// Most memory that is reckoned with, in megabytes.
+/// Upper bound of the memory that limits are derived from, in megabytes.
 const MAX_MEMORY_MB: f64 = 65536.0;
-/// Bytes that an open API call takes at most, its value apart.
+/// Most memory that an open API call takes without its value, in bytes.
 const BYTES_PER_CALL: f64 = 4096.0;
-/// Open API calls may take the memory divided by this.
+/// Open API calls may take up the memory divided by this number.
 const CALLS_MEMORY_DIVISOR: f64 = 8.0;
-/// Values and buffers may take the memory divided by this.
+/// Values and buffers may take up the memory divided by this number.
 const BUFFERS_MEMORY_DIVISOR: f64 = 3.0;
-/// Least bytes that the node may hold of a streamed value.
+/// Lower bound of `streaming_window_bytes`.
 const MIN_STREAMING_WINDOW_BYTES: usize = 8 * 1024;
-/// Most bytes that the node may hold of a streamed value.
+/// Upper bound of `streaming_window_bytes`.
 const MAX_STREAMING_WINDOW_BYTES: usize = 128 * 1024;
-/// Bytes of an argument that are reckoned with: few arguments are as long as they may be.
+/// Most bytes counted per argument in the size of a command: few arguments are as long as allowed.
 const MAX_COUNTED_ARGUMENT_BYTES: usize = 256;
-/// Bytes of a command or a reply besides its arguments and its value.
+/// Bytes of a command or a reply in addition to its arguments and its value.
 const FRAMING_BYTES: usize = 4096;
-/// Most open API calls where the settings name no number.
+/// Most open API calls if the settings give no number.
 const DEFAULT_OPEN_CALLS: f64 = 40_000.0;
 
-/// Longest client timeout where the settings name no product.
+/// Longest client timeout if the settings name no product.
 const DEFAULT_CLIENT_TIMEOUT: Span = Span::ms(1_000);
-/// For a connect where the settings name no time.
+/// Connect timeout if the settings give none.
 const DEFAULT_CONNECT_TIMEOUT: Span = Span::ms(250);
-/// Least time for a connect.
+/// Lower bound of the connect timeout.
 const MIN_CONNECT_TIMEOUT: Span = Span::ms(1);
-/// Least time from some of an answer to more of it.
+/// Lower bound of `response_gap_timeout`.
 const MIN_RESPONSE_GAP_TIMEOUT: Span = Span::ms(50);
-/// How long servers keep idle connections where the settings do not say so.
+/// How long servers keep idle connections open if the settings don't say.
 const DEFAULT_KEEPALIVE: Span = Span::ms(15_000);
-/// Part of that time for which the node keeps them.
+/// Fraction of the servers' keep-alive time for which the node keeps idle connections: it has to
+/// close them before the server does.
 const KEEPALIVE_SHARE: f64 = 0.8;
 
-/// Most of the longest client timeout that planned restarts leave after SIGTERM.
+/// Upper bound of the client timeout that a planned restart waits for after SIGTERM.
 const MAX_SHUTDOWN_TIMEOUT: Span = Span::ms(3_000);
-/// From the end of that time to SIGKILL, in milliseconds.
+/// Time from the end of that timeout to SIGKILL, in milliseconds.
 const KILL_AFTER_MS: i64 = 700;
-/// How long the process may be stalled before its last write, in milliseconds.
+/// Longest stall of the process before its last write, in milliseconds.
 const MAX_STALL_MS: i64 = 150;
-/// How late the process's own timers may be, in milliseconds.
+/// Largest lateness of the process's own timers, in milliseconds.
 const TIMER_LATENESS_MS: i64 = 30;
-/// From the end of the client timeout until clients are served no more.
+/// Time from the end of the longest client timeout until clients are no longer served.
 const SERVE_AFTER: Span = Span::ms(300);
-/// From the end of the client timeout until all is answered.
+/// Time from the end of the longest client timeout until every API call has its final response.
 const RESPOND_AFTER: Span = Span::ms(420);
-/// From the end of the client timeout until clients are closed: what is overdue has been answered by then, and there is
-/// time for the last answers to be taken.
+/// Time from the end of the longest client timeout until clients are closed: overdue API calls have
+/// got their final response by then, and clients still have time to read it.
 const DISCONNECT_AFTER: Span = Span::ms(440);
 
 impl Default for Limits {
@@ -71,7 +73,7 @@
 }
 
 impl Limits {
-    /// Limits for a machine, with the times that the settings give.
+    /// Returns the limits for a machine, with the timeouts that follow from the settings.
     pub fn new(machine: MachineLimits, settings: &Settings) -> Limits {
         let mut limits = FIXED_LIMITS;
         limits.set_socket_counts(machine);
@@ -80,16 +82,18 @@
         limits
     }
 
-    /// With the times that settings give, where others are live than at the start.
+    /// Returns these limits with the timeouts that follow from `settings`, for settings that are
+    /// reloaded while the node runs.
     pub fn retuned(&self, settings: &Settings) -> Limits {
         let mut limits = self.clone();
         limits.set_timeouts(settings);
         limits
     }
 
-    /// For a process that now and then serves beside the one before or after it, on one machine's limits: neither may
-    /// take more than half of the memory, or keep upstreams that it does not need now beyond a quarter of the sockets.
-    /// Clients' sockets need no share, as one client is at one of the two.
+    /// Returns these limits for a process that shares its listening socket, and at times the
+    /// machine, with the process before or after it: neither may use more than half of the memory,
+    /// or keep idle upstreams beyond a quarter of the sockets. The sockets of clients need no
+    /// split, as each client is connected to one of the two processes.
     pub fn with_shared_listener(mut self) -> Limits {
         self.buffered_bytes /= 2;
         self.streaming_window_bytes =
@@ -98,7 +102,7 @@
         self
     }
 
-    /// Sets descriptors aside for operators' calls.
+    /// Returns these limits with descriptors reserved for the admin API.
     pub fn with_admin_connections(mut self) -> Limits {
         self.sockets = self
             .sockets
@@ -107,14 +111,15 @@
         self
     }
 
-    /// Bytes that a client's connection may hold unread: one whole command.
+    /// Most bytes that the connection of a client buffers: one whole command.
     pub fn max_command_bytes(&self) -> usize {
         self.value_bytes
             + self.command_arguments * self.argument_bytes.min(MAX_COUNTED_ARGUMENT_BYTES)
             + FRAMING_BYTES
     }
 
-    /// Bytes that a connection to a server may hold: one whole reply, or the beginning of a larger one.
+    /// Most bytes that a connection to a server buffers: one whole reply, or the beginning of a
+    /// larger one.
     pub fn max_reply_bytes(&self) -> usize {
         self.buffered_value_bytes + self.http_head_bytes + FRAMING_BYTES
     }
@@ -133,11 +138,11 @@
 
     fn set_memory_shares(&mut self, machine: MachineLimits, settings: &Settings) {
         let memory_bytes = machine.memory_mb.clamp(MIN_MEMORY_MB, MAX_MEMORY_MB) * BYTES_PER_MB;
-        let wanted_calls = settings.number("caps.most_held", DEFAULT_OPEN_CALLS);
-        let fitting_calls = memory_bytes / CALLS_MEMORY_DIVISOR / BYTES_PER_CALL;
-        self.open_calls = (wanted_calls.max(1.0) as usize).min(fitting_calls as usize);
+        let configured_calls = settings.number("caps.most_held", DEFAULT_OPEN_CALLS);
+        let calls_in_memory = memory_bytes / CALLS_MEMORY_DIVISOR / BYTES_PER_CALL;
+        self.open_calls = (configured_calls.max(1.0) as usize).min(calls_in_memory as usize);
         self.buffered_bytes = (memory_bytes / BUFFERS_MEMORY_DIVISOR) as usize;
-        // A quarter of the memory, where half of the sockets have clients that take slowly.
+        // A quarter of the memory if half of the sockets have clients that read slowly.
         self.streaming_window_bytes = ((memory_bytes / 2.0) as usize / self.sockets)
             .clamp(MIN_STREAMING_WINDOW_BYTES, MAX_STREAMING_WINDOW_BYTES);
     }
@@ -152,13 +157,14 @@
             .iter()
             .map(|product| product.client_timeout)
             .max();
-        let served = longest_timeout
+        let client_timeout = longest_timeout
             .unwrap_or(DEFAULT_CLIENT_TIMEOUT)
             .min(MAX_SHUTDOWN_TIMEOUT);
-        self.shutdown_serve = served + SERVE_AFTER;
-        self.shutdown_respond = served + RESPOND_AFTER;
-        self.shutdown_disconnect = served + DISCONNECT_AFTER;
-        self.shutdown_limit = served + Span::ms(KILL_AFTER_MS - MAX_STALL_MS - TIMER_LATENESS_MS);
-        self.shutdown_final_reads = served + Span::ms(KILL_AFTER_MS - TIMER_LATENESS_MS);
+        self.shutdown_serve = client_timeout + SERVE_AFTER;
+        self.shutdown_respond = client_timeout + RESPOND_AFTER;
+        self.shutdown_disconnect = client_timeout + DISCONNECT_AFTER;
+        self.shutdown_limit =
+            client_timeout + Span::ms(KILL_AFTER_MS - MAX_STALL_MS - TIMER_LATENESS_MS);
+        self.shutdown_final_reads = client_timeout + Span::ms(KILL_AFTER_MS - TIMER_LATENESS_MS);
     }
 }
--- a/crates/node/src/limits/fixed.rs
+++ b/crates/node/src/limits/fixed.rs
@@ -1,4 +1,4 @@
-//! The limits that neither the machine nor the settings change.
+//! Limits that depend neither on the machine nor on the settings.
 use quartzhub_policy::Span;
 
 use super::Limits;
@@ -6,7 +6,8 @@
 const KIB: usize = 1024;
 const MIB: usize = 1024 * KIB;
 
-/// Limits with those that the machine or the settings give still at zero: `Limits::new` fills these in.
+/// The fixed limits; those derived from the machine or the settings are zero until `Limits::new`
+/// sets them.
 pub(super) const FIXED_LIMITS: Limits = Limits {
     sockets: 0,
     client_only_sockets: 0,
@@ -43,9 +44,9 @@
 
     connect_timeout: Span::ZERO,
     upstream_idle_timeout: Span::ZERO,
-    // A second copy of an answer comes some milliseconds behind the first.
+    // A duplicate of a response arrives some milliseconds after the first.
     upstream_reuse_delay: Span::ms(10),
-    // Two thirds of what the operators allow, as the process may be held up as well.
+    // Two thirds of what operators allow, as a stall of the process adds to it.
     deadline_slack: Span::ms(100),
     large_value_write_share: 0.5,
     response_gap_timeout: Span::ZERO,
@@ -77,7 +78,8 @@
     accept_retry_interval: Span::ms(20),
 
     watch_silence_timeout: Span::ms(3_000),
-    // The agent answers at once, and what a watch missed counts as notified 6 s after it fell silent.
+    // The discovery agent responds at once, and the node counts as notified of every update 6 s
+    // after its watch fell silent.
     watch_open_timeout: Span::ms(1_000),
     watch_slow_open_timeout: Span::ms(2_500),
     watch_first_backoff: Span::ms(50),
@@ -95,18 +97,18 @@
     shutdown_final_polls: 4,
     shutdown_poll_interval: Span::ms(5),
 
-    // Half a second, by which the counts of files may lag.
+    // About half a second in total, by which the system's count of open files may lag.
     reload_attempts: 8,
     reload_retry_interval: Span::ms(50),
     settings_propagation: Span::ms(2_000),
 
     leave_notice: Span::ms(350),
     leave_close_any_pause: Span::ms(1_500),
-    // At 4 s no client may have a command of the last 2 s.
+    // 4 s after the drain began, no client may have sent a command within the last 2 s.
     leave_stop_reading: Span::ms(1_700),
     final_partial_command: Span::ms(500),
 
-    // A few tools, and callers that hold a connection with half a call.
+    // Some tools at once, and callers that keep a connection open with a partial request.
     admin_connections: 16,
     admin_request_timeout: Span::ms(5_000),
     admin_head_bytes: 8 * KIB,
--- a/crates/node/src/limits/machine_limits.rs
+++ b/crates/node/src/limits/machine_limits.rs
@@ -1,12 +1,12 @@
-//! What the machine gives the process.
+//! Resources of the machine that the process may use.
 
-/// What the machine gives the process, as the configuration's `limits` say it.
+/// Resources of the machine that the process may use, read from `limits` in the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, serde::Deserialize)]
 #[serde(default)]
 pub struct MachineLimits {
     /// Memory, in megabytes of 10^6 bytes.
     pub memory_mb: f64,
-    /// Descriptors that the process may hold.
+    /// Most descriptors that the process may have open.
     pub sockets: usize,
 }
 
