--- a/crates/node/src/config/check.rs
+++ b/crates/node/src/config/check.rs
@@ -1,4 +1,4 @@
-//! Checks the keys of a file and the variables of the environment, and fills in defaults.
+//! Validates the keys of a file and the variables of the environment, and fills in defaults.
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, Hasher};
 
@@ -16,13 +16,14 @@
 use crate::limits::{Limits, MachineLimits};
 use crate::peers::config::PeerConfig;
 
-/// Least memory that a node may be given, in megabytes.
+/// Least memory that the configuration may give a node, in megabytes.
 const MIN_MEMORY_MB: f64 = 16.0;
-/// Least number of sockets that a node may be given.
+/// Least number of sockets that the configuration may give a node.
 const MIN_SOCKETS: usize = 32;
 
 impl Config {
-    /// Makes a configuration from the keys of `file`; `document` is the same file with all its keys.
+    /// Builds a configuration from the known keys of a file, `file`, and from all of its keys,
+    /// `document`.
     pub(super) fn checked(
         mut file: ConfigFile,
         document: &BTreeMap<String, Value>,
@@ -34,24 +35,28 @@
         let known = known_endpoints(std::mem::take(&mut file.known), &mut ignored_faults);
         check_machine_limits(
             &mut file.limits,
-            environment.descriptors,
+            environment.max_descriptors,
             &mut ignored_faults,
         )?;
-        let inherited = environment.inherited.map(descriptor_variable).transpose()?;
-        let ops = address_variable(ADMIN_VARIABLE, environment.ops)?.or(file.ops);
+        let descriptor = environment
+            .inherited_descriptor
+            .map(descriptor_variable)
+            .transpose()?;
+        let admin_address =
+            address_variable(ADMIN_VARIABLE, environment.admin_listen)?.or(file.ops);
         let membership = checked_membership(&file, &settings, &mut ignored_faults)?;
         let mut limits = Limits::new(file.limits, &settings);
-        if inherited.is_some() {
+        if descriptor.is_some() {
             limits = limits.with_shared_listener();
         }
-        if ops.is_some() {
+        if admin_address.is_some() {
             limits = limits.with_admin_connections();
         }
         Ok(Config {
             name: environment.name.unwrap_or(file.name),
             listen: listen.ok_or_else(|| ConfigError::missing_key("listen"))?,
-            admin_listen: ops,
-            inherited_descriptor: inherited,
+            admin_listen: admin_address,
+            inherited_descriptor: descriptor,
             discovery: address_variable(DISCOVERY_VARIABLE, environment.discovery)?
                 .or(file.discovery),
             seed: file.seed.unwrap_or_else(random_seed),
@@ -68,8 +73,8 @@
     }
 }
 
-/// The endpoint list to start with; a faulty one is ignored. Guards against a node that does not restart because of an old
-/// list: discovery has a newer one.
+/// Returns the endpoint list that the node starts with. A malformed list is ignored, so that an old
+/// list does not keep the node from starting: discovery has a newer one.
 fn known_endpoints(list: Value, ignored_faults: &mut Vec<ConfigError>) -> EndpointListUpdate {
     if list.is_null() {
         return EndpointListUpdate::default();
@@ -80,7 +85,8 @@
     })
 }
 
-/// Limits that are too small are a fault; more sockets than the process may open are reduced to as many.
+/// Rejects limits that are too small, and lowers a number of sockets that is above what the process
+/// may open.
 fn check_machine_limits(
     limits: &mut MachineLimits,
     max_descriptors: Option<usize>,
@@ -88,15 +94,15 @@
 ) -> Result<(), ConfigError> {
     let MachineLimits { memory_mb, sockets } = *limits;
     if memory_mb.is_nan() || memory_mb < MIN_MEMORY_MB {
-        let reason = format!("{memory_mb} is under {MIN_MEMORY_MB}");
+        let reason = format!("{memory_mb} is less than the minimum of {MIN_MEMORY_MB}");
         return Err(ConfigError::invalid_value("limits.memory_mb", reason));
     }
     if sockets < MIN_SOCKETS {
-        let reason = format!("{sockets} is under {MIN_SOCKETS}");
+        let reason = format!("{sockets} is less than the minimum of {MIN_SOCKETS}");
         return Err(ConfigError::invalid_value("limits.sockets", reason));
     }
     if let Some(max) = max_descriptors.filter(|max| *max < sockets) {
-        let reason = format!("{sockets}, but the process may open {max}");
+        let reason = format!("{sockets} is more than the process may open; lowered to {max}");
         ignored_faults.push(ConfigError::invalid_value("limits.sockets", reason));
         limits.sockets = max;
     }
@@ -120,7 +126,7 @@
     if file.shared && membership.is_none() {
         ignored_faults.push(ConfigError::invalid_value(
             "shared",
-            "needs membership: off",
+            "ignored, as membership is off",
         ));
     }
     Ok(membership.map(|peers| PeerConfig {
@@ -129,7 +135,7 @@
     }))
 }
 
-/// The seed where the configuration has none.
+/// Returns a random seed, for a configuration that gives none.
 fn random_seed() -> u64 {
     std::collections::hash_map::RandomState::new()
         .build_hasher()
--- a/crates/node/src/config/endpoint_list.rs
+++ b/crates/node/src/config/endpoint_list.rs
@@ -1,38 +1,38 @@
-//! The endpoint list, in the form that discovery gives it.
+//! The endpoint list, in the format of discovery.
 use std::net::SocketAddr;
 
 use super::values::address;
 
-/// An endpoint list, whole or as changes.
+/// An update of the endpoint list: the whole list, or its changes.
 #[derive(Debug, Default, serde::Deserialize)]
 pub struct EndpointListUpdate {
-    /// The version that the list has with this update.
+    /// Version of the list after this update.
     pub version: u64,
-    /// Whether servers that are not in it have left the list.
+    /// Whether the update is the whole list, so that servers missing from it are delisted.
     #[serde(default)]
     pub full: bool,
-    /// The servers, all or those that have changed.
+    /// All servers, or those that have changed.
     pub servers: Vec<EndpointListEntry>,
 }
 
-/// A server of the list.
+/// One server of the endpoint list.
 #[derive(Debug, serde::Deserialize)]
 pub struct EndpointListEntry {
-    /// The server's id, the same for as long as it is there.
+    /// The server's id, which never changes while the server is listed.
     pub id: String,
-    /// Where it serves.
+    /// Address that the server listens on.
     #[serde(default, deserialize_with = "address")]
     pub addr: Option<SocketAddr>,
-    /// The name of its zone.
+    /// Name of its zone.
     pub zone: Option<String>,
-    /// The name of its machine kind.
+    /// Name of its machine kind.
     pub kind: Option<String>,
-    /// The number of its cell.
+    /// Number of its cell.
     pub cell: Option<u32>,
-    /// The list's word for its state, such as `in_service`.
+    /// Name of its state, such as `in_service`.
     pub state: Option<String>,
-    /// Its weight against others, without a unit.
+    /// Its weight relative to other servers, without a unit.
     pub weight: Option<f64>,
-    /// When it started, as Unix time in milliseconds; 0 for long ago.
+    /// Start of its process, as Unix time in milliseconds; 0 means long ago.
     pub started_ms: Option<f64>,
 }
--- a/crates/node/src/config/file.rs
+++ b/crates/node/src/config/file.rs
@@ -6,41 +6,41 @@
 use super::values::{address, seed};
 use crate::limits::MachineLimits;
 
-/// What the file may hold. Unknown keys are passed over.
+/// The keys that a configuration file may have. Unknown keys are ignored.
 #[derive(serde::Deserialize)]
 pub(super) struct ConfigFile {
     #[serde(default = "default_name")]
     pub(super) name: String,
     #[serde(default, deserialize_with = "address")]
     pub(super) listen: Option<SocketAddr>,
-    /// Where operators call.
+    /// Address of the admin API.
     #[serde(default, deserialize_with = "address")]
     pub(super) ops: Option<SocketAddr>,
     #[serde(default, deserialize_with = "address")]
     pub(super) discovery: Option<SocketAddr>,
     #[serde(default, deserialize_with = "seed")]
     pub(super) seed: Option<u64>,
-    /// Whether nodes watch one another.
+    /// Whether the nodes of the fleet monitor one another.
     #[serde(default)]
     pub(super) membership: bool,
-    /// Where other nodes' datagrams come in.
+    /// Address at which datagrams of other nodes are received.
     #[serde(default, deserialize_with = "address")]
     pub(super) peer_listen: Option<SocketAddr>,
-    /// Addresses of all nodes; checked by the part that reads them.
+    /// Addresses of all nodes; `PeerConfig::checked` validates them.
     #[serde(default)]
     pub(super) peers: Value,
-    /// The fleet's name.
+    /// Name of the fleet.
     #[serde(default)]
     pub(super) fleet: Option<String>,
-    /// Features of membership that tests leave out on purpose, to see that they are missed.
+    /// Features of membership that tests disable, to verify that a test fails without them.
     #[serde(default)]
     pub(super) membership_without: Vec<String>,
-    /// Whether nodes also tell one another of their load, and lend one another parts of budgets.
+    /// Whether nodes also exchange load reports and lease one another shares of their budgets.
     #[serde(default)]
     pub(super) shared: bool,
     #[serde(default)]
     pub(super) limits: MachineLimits,
-    /// The endpoint list to start with; a faulty one is ignored.
+    /// Endpoint list that the node starts with; a malformed one is ignored.
     #[serde(default)]
     pub(super) known: Value,
     pub(super) settings: Value,
--- a/crates/node/src/config/key_paths.rs
+++ b/crates/node/src/config/key_paths.rs
@@ -1,12 +1,13 @@
-//! Paths of the keys of a document, to see at a reload whether the file still has all of them.
+//! Paths of all keys of a document. A reload uses them to detect a truncated file, which has lost
+//! some of them.
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde_json::Value;
 
-/// Key whose content is not compared: servers come and go.
+/// Key whose content is not compared, as servers join and leave the list.
 const KNOWN_SERVERS: &str = "known";
 
-/// Paths of all keys of a document, but for those of the list of known servers.
+/// Returns the paths of all keys of a document, except those within the list of known servers.
 pub(super) fn document_key_paths(document: &BTreeMap<String, Value>) -> BTreeSet<String> {
     let mut paths = BTreeSet::new();
     for (key, value) in document {
@@ -18,7 +19,8 @@
     paths
 }
 
-/// Adds the paths of all keys below `parent`; of a list's items, those that each of them has.
+/// Adds the paths of all keys below `parent`. For the items of a list, adds the paths that all
+/// items have.
 fn add_key_paths(parent: &str, value: &Value, paths: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
@@ -30,16 +32,16 @@
         }
         Value::Array(items) => {
             let item_path = format!("{parent}[]");
-            let of_item = |item| {
+            let item_paths = |item| {
                 let mut paths = BTreeSet::new();
                 add_key_paths(&item_path, item, &mut paths);
                 paths
             };
             let common = items
                 .iter()
-                .map(of_item)
+                .map(item_paths)
                 .reduce(|common, paths| &common & &paths);
-            // An empty list has a path of its own, which tells it from a missing one.
+            // An empty list gets a path of its own, which distinguishes it from a missing list.
             paths.extend(common.unwrap_or_else(|| BTreeSet::from([item_path])));
         }
         _ => {}
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -1,4 +1,5 @@
-//! The configuration: read, checked and given its defaults here and nowhere else. Messages name the faulty key.
+//! The configuration. It is read, validated and completed with defaults here and nowhere else.
+//! Error messages name the invalid key.
 mod check;
 mod endpoint_list;
 mod environment;
@@ -27,39 +28,40 @@
 /// The configuration of a node.
 #[derive(Debug)]
 pub struct Config {
-    /// The node's name in its log.
+    /// Name of the node in its log.
     pub name: String,
     /// Address that clients connect to.
     pub listen: SocketAddr,
-    /// Address of the admin API; without one there is none.
+    /// Address of the admin API; `None` disables it.
     pub admin_listen: Option<SocketAddr>,
-    /// Descriptor of an inherited listening socket, on which clients are served instead of `listen`.
+    /// Descriptor of an inherited listening socket, which replaces `listen`.
     pub inherited_descriptor: Option<i32>,
-    /// Address of discovery, which has the endpoint list; without one the node keeps to `known`.
+    /// Address of discovery, which provides the endpoint list; with `None` the node keeps
+    /// `known_endpoints`.
     pub discovery: Option<SocketAddr>,
     /// Seed of the node's random numbers.
     pub seed: u64,
-    /// The checked settings of the fleet.
+    /// The validated settings of the fleet.
     pub settings: Settings,
     /// The endpoint list that the node starts with.
     pub known_endpoints: EndpointListUpdate,
-    /// Limits by the machine and the settings.
+    /// Limits derived from the machine and the settings.
     pub limits: Limits,
-    /// The other nodes, where membership is on.
+    /// The other nodes of the fleet; `None` if membership is off.
     pub membership: Option<PeerConfig>,
-    /// Faults that are ignored: the node starts all the same, and logs them.
+    /// Errors that don't keep the node from starting; they are logged.
     pub ignored_faults: Vec<ConfigError>,
-    /// The limits of the machine that `limits` were derived from.
+    /// Machine limits that `limits` were derived from.
     machine_limits: MachineLimits,
-    /// Paths of the file's keys, but for those of the list of known servers.
+    /// Paths of the file's keys, except those within the list of known servers.
     key_paths: BTreeSet<String>,
-    /// Where the configuration was read; none if from a text.
+    /// What the configuration was read from; `None` if it was parsed from a string.
     source: Option<ConfigSource>,
-    /// The discovery that the file names, whatever the environment says.
+    /// Address of discovery in the file, which the environment may override.
     discovery_in_file: Option<SocketAddr>,
 }
 
-/// What a configuration was read from, to read it again.
+/// What a configuration was read from, kept for reloads.
 #[derive(Debug)]
 struct ConfigSource {
     file: PathBuf,
--- a/crates/node/src/config/read.rs
+++ b/crates/node/src/config/read.rs
@@ -1,4 +1,4 @@
-//! Reads a configuration from a file or a text, as JSON or as TOML.
+//! Reads a configuration from a file or a string, in JSON or TOML.
 use std::collections::BTreeMap;
 use std::path::Path;
 
@@ -6,11 +6,11 @@
 use super::{Config, ConfigSource, Environment};
 use crate::error::ConfigError;
 
-/// File name extension of configurations in TOML; all others are JSON.
+/// File name extension of a configuration in TOML; all other files are JSON.
 const TOML_EXTENSION: &str = "toml";
 
 impl Config {
-    /// Reads and checks a file. Variables of the environment go before its keys.
+    /// Reads and validates a file. Environment variables override its keys.
     pub fn read(file: &Path, environment: Environment) -> Result<Config, ConfigError> {
         let text = std::fs::read_to_string(file).map_err(|source| ConfigError::UnreadableFile {
             file: file.to_owned(),
@@ -32,7 +32,7 @@
         Ok(config)
     }
 
-    /// Checks a configuration in JSON.
+    /// Parses and validates a configuration in JSON.
     pub fn parse(text: &str, environment: Environment) -> Result<Config, ConfigError> {
         let mut json = serde_json::Deserializer::from_str(text);
         let file: ConfigFile =
@@ -41,7 +41,7 @@
         Config::checked(file, &document, environment)
     }
 
-    /// The same keys with the same checks, as TOML.
+    /// Parses and validates a configuration in TOML, which has the same keys.
     pub fn parse_toml(text: &str, environment: Environment) -> Result<Config, ConfigError> {
         let table: toml::Table = text.parse().map_err(toml_error::<toml::de::Error>)?;
         let value = serde_json::to_value(&table).map_err(toml_error)?;
@@ -58,7 +58,7 @@
     }
 }
 
-/// A parser's error with the path of the key that it is about, below `prefix`.
+/// Converts a parser's error, and adds the path of the key that caused it after `prefix`.
 pub(super) fn with_key(
     prefix: &str,
     error: serde_path_to_error::Error<serde_json::Error>,
@@ -66,7 +66,7 @@
     let path = error.path().to_string();
     let source = error.into_inner();
     match path.as_str() {
-        // Nothing of the document was understood, so there is no key.
+        // The document could not be parsed at all, so no key is concerned.
         "." | "?" => ConfigError::Json(source),
         path => ConfigError::WrongType {
             key: format!("{prefix}{path}"),
--- a/crates/node/src/config/reload.rs
+++ b/crates/node/src/config/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration's file again while the node runs.
+//! Rereads the configuration file while the node runs.
 use std::collections::BTreeSet;
 
 use super::Config;
@@ -7,19 +7,20 @@
 #[cfg(test)]
 mod tests;
 
-/// What a reload has changed.
+/// What a reload changed.
 #[derive(Debug, PartialEq)]
 pub struct ReloadSummary {
-    /// Changed keys that take effect at a restart only.
+    /// Changed keys that take effect only after a restart.
     pub needs_restart: Vec<String>,
-    /// Whether settings have changed; these take effect at once.
+    /// Whether settings changed; these take effect at once.
     pub settings_changed: bool,
 }
 
 impl Config {
-    /// Reads the same file again, checks it whole, and applies what may change while the node runs. A variable
-    /// overrides the file as it did at the start, but not a discovery that the file names since. On a fault nothing
-    /// changes. Guards against a truncated file: every key that it had before must still be there.
+    /// Rereads the file, validates all of it, and applies what may change while the node runs.
+    /// Environment variables override the file as they did at the start, except that a change of
+    /// `discovery` in the file takes precedence. After an error nothing has changed. Every key that
+    /// the file had before must still be present; otherwise a truncated file would be applied.
     pub fn reload(&mut self) -> Result<ReloadSummary, ConfigError> {
         let source = self.source.as_ref().ok_or(ConfigError::NoFile)?;
         let new = Config::read(&source.file, source.environment.clone())?;
@@ -56,12 +57,12 @@
     }
 }
 
-/// The first key that the file had before and lacks now.
+/// Returns the first key path in `old` that is missing from `new`.
 fn lost_key_path<'a>(old: &'a BTreeSet<String>, new: &'a BTreeSet<String>) -> Option<&'a String> {
-    // A list may become empty, as the one of tenants does when the last one goes.
+    // A list may become empty, as the list of tenants does when the last tenant is removed.
     let is_in_emptied_list = |key: &str| {
         key.match_indices("[]")
-            .any(|(start, mark)| new.contains(&key[..start + mark.len()]))
+            .any(|(start, brackets)| new.contains(&key[..start + brackets.len()]))
     };
     old.difference(new)
         .find(|key| !is_in_emptied_list(key) && !key.ends_with("[]"))
--- a/crates/node/src/config/reload/tests.rs
+++ b/crates/node/src/config/reload/tests.rs
@@ -1,11 +1,11 @@
-//! Configurations that are read again while the node runs.
+//! Reloads of the configuration while the node runs.
 use super::*;
 use crate::config::Environment;
 use expect_test::expect;
 
 #[test]
-fn a_reload_moves_discovery_and_a_faulty_file_changes_nothing() {
-    let file = std::env::temp_dir().join(format!("quartzhub-again-{}.json", std::process::id()));
+fn reload_moves_discovery_and_rejects_an_invalid_file() {
+    let file = std::env::temp_dir().join(format!("quartzhub-reload-{}.json", std::process::id()));
     let product = r#"{"Name":"view","LatencySlo":100,"ClientTimeout":500}"#;
     let write_file = |discovery: &str, more: &str| {
         let head = format!(r#"{{"listen":"127.0.0.1:6379",{discovery}{more}"#);
@@ -48,7 +48,7 @@
     expect![[r#"
         Some(9): Ok(ReloadSummary { needs_restart: [], settings_changed: false })
         Some(2): Ok(ReloadSummary { needs_restart: ["name", "limits"], settings_changed: false })
-        Some(2): Err("file: limits.sockets: 3 is under 32")
+        Some(2): Err("file: limits.sockets: 3 is less than the minimum of 32")
         Some(2): Err("file: discovery: missing")
         Some(1): Ok(ReloadSummary { needs_restart: [], settings_changed: false })
         Some(1): Ok(ReloadSummary { needs_restart: ["name", "limits"], settings_changed: false })
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn reloaded_settings_are_applied_whole_or_rejected_whole() {
+fn reloaded_settings_are_applied_or_rejected_as_a_whole() {
     let file = std::env::temp_dir().join(format!("quartzhub-settings-{}.json", std::process::id()));
     let product = |name: &str, timeout: &str, more: &str| {
         format!(r#"{{"Name":"{name}","LatencySlo":100,"ClientTimeout":{timeout}{more}}}"#)
@@ -78,11 +78,11 @@
     let mut outcomes = String::new();
     let mut reload = |zone: &str, caps: &str, products: &[String]| {
         write_file(zone, caps, products);
-        let what = config.reload();
-        let what = what.map_err(|e| e.to_string().replace(&*file.to_string_lossy(), "file"));
+        let result = config.reload();
+        let result = result.map_err(|e| e.to_string().replace(&*file.to_string_lossy(), "file"));
         let attempts = config.settings.number("caps.most_shots", 0.0);
         outcomes += &format!(
-            "{attempts} attempts, {} products: {what:?}\n",
+            "{attempts} attempts, {} products: {result:?}\n",
             quartzhub_settings::products(&config.settings).len()
         );
     };
@@ -114,15 +114,16 @@
         3 attempts, 1 products: Err("file: settings.Caps.Probing: missing")
         3 attempts, 1 products: Err("file: settings.Products[].Effect: missing")
         3 attempts, 1 products: Err("file: settings.Products[1].ClientTimeout: a number of milliseconds above 0 is needed")
-        3 attempts, 1 products: Err("file: settings.Products[2].Name: \"put\" stands twice")
+        3 attempts, 1 products: Err("file: settings.Products[2].Name: \"put\" is used by more than one product")
         3 attempts, 1 products: Err("file: settings.Products: a list of at least one product is needed")
     "#]]
     .assert_eq(&outcomes);
 }
 
-/// Guards against a move from a deployment with tenants to one without that is rejected as a truncated file.
+/// Without the exception for emptied lists, a reload that moves from a deployment with tenants to one
+/// without would be rejected as a truncated file.
 #[test]
-fn tenants_come_and_go_at_a_move() {
+fn reload_may_add_tenants_and_empty_their_list() {
     let file = std::env::temp_dir().join(format!("quartzhub-tenants-{}.json", std::process::id()));
     let write_file = |tenants: &str| {
         let product = r#"{"Name":"view","LatencySlo":100,"ClientTimeout":500}"#;
@@ -140,10 +141,13 @@
         r#""Round":5"#,
     ] {
         write_file(tenants);
-        let what = config
+        let result = config
             .reload()
             .map_err(|e| e.to_string().replace(&*file.to_string_lossy(), "file"));
-        outcomes += &format!("{} tenants: {what:?}\n", config.settings.count("projects"));
+        outcomes += &format!(
+            "{} tenants: {result:?}\n",
+            config.settings.count("projects")
+        );
     }
     let _ = std::fs::remove_file(&file);
     expect![[r#"
--- a/crates/node/src/config/settings.rs
+++ b/crates/node/src/config/settings.rs
@@ -1,4 +1,4 @@
-//! Checks that settings have what the policy can't do without, and that what they have is of the right type.
+//! Validates the settings: those that the policy requires are present, and all have the right type.
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
 
@@ -7,34 +7,34 @@
 
 use crate::error::ConfigError;
 
-/// Longest time that a setting may name, in milliseconds: a day.
+/// Longest duration of a setting, in milliseconds: one day.
 const MAX_DURATION_MS: f64 = 86_400_000.0;
-/// Most attempts for an API call.
+/// Upper bound of the setting for the most attempts of an API call.
 const MAX_ATTEMPTS: f64 = 1000.0;
-/// Numbers of nodes that a fleet may have.
+/// Allowed numbers of nodes in a fleet.
 const NODE_COUNT: RangeInclusive<f64> = 1.0..=1e6;
 
-/// What is said of a setting that has to be a flag.
+/// Error text for a setting that must be a boolean.
 const FLAG_NEEDED: &str = "true or false is needed";
-/// What is said of a setting that has to be a time.
+/// Error text for a setting that must be a duration.
 const DURATION_NEEDED: &str = "a number of milliseconds is needed";
 
-/// A setting that may be left out, but not be something else than it is.
+/// A setting that may be absent, but must be valid if it is present.
 struct OptionalSetting {
-    /// The object that it stands in.
+    /// Object of the settings that contains it.
     section: &'static str,
     key: &'static str,
     is_valid: fn(&Value) -> bool,
-    /// What is said where it is not valid.
+    /// Error text for an invalid value.
     requirement: &'static str,
 }
 
-/// Optional settings that the policy reads.
+/// The optional settings that the policy reads.
 const OPTIONAL_SETTINGS: [OptionalSetting; 15] = [
     OptionalSetting::flag("Caps", "MayDuplicate"),
     OptionalSetting::flag("Caps", "Cancelling"),
     OptionalSetting::flag("Caps", "RetryAfter"),
-    OptionalSetting::amount("Caps", "ReplySlots", "a number of answers is needed"),
+    OptionalSetting::amount("Caps", "ReplySlots", "a number of responses is needed"),
     OptionalSetting::duration("Caps", "Keepalive"),
     OptionalSetting::duration("Caps", "MaxRetryAfter"),
     OptionalSetting::flag("Invariants", "DroppedStayOpen"),
@@ -48,7 +48,7 @@
     OptionalSetting::amount(
         "Invariants",
         "FurtherRatio",
-        "a number of attempts an API call is needed",
+        "a number of attempts per API call is needed",
     ),
 ];
 
@@ -105,13 +105,13 @@
     }
 }
 
-/// The settings as the policy reads them, once the keys it can't do without are there.
+/// Validates the settings and returns them in the form that the policy reads.
 pub(super) fn checked_settings(
     settings: &Value,
     ignored_faults: &mut Vec<ConfigError>,
 ) -> Result<Settings, ConfigError> {
     if !settings.is_object() {
-        return Err(invalid("", "not an object"));
+        return Err(invalid("", "an object is needed"));
     }
     let products = settings
         .get("Products")
@@ -148,7 +148,7 @@
     match settings.get("Balancers") {
         Some(count) if !is_valid(count) => Err(invalid(
             ".Balancers",
-            "a number of nodes from 1 on is needed",
+            "a number of nodes of at least 1 is needed",
         )),
         _ => Ok(()),
     }
@@ -161,7 +161,7 @@
         if !rate.is_null() && !is_amount(rate) {
             return Err(invalid(
                 &format!(".Projects[{i}].QuotaPerS"),
-                "a number of API calls a second is needed",
+                "a number of API calls per second is needed",
             ));
         }
     }
@@ -178,14 +178,15 @@
         let name = product
             .get("Name")
             .and_then(Value::as_str)
-            .ok_or_else(|| invalid(&format!("{path}.Name"), "a text is needed"))?;
+            .ok_or_else(|| invalid(&format!("{path}.Name"), "a string is needed"))?;
         if !names.insert(name) {
-            let reason = format!("{name:?} stands twice");
+            let reason = format!("{name:?} is used by more than one product");
             return Err(invalid(&format!("{path}.Name"), &reason));
         }
         check_product_times(product, &path)?;
         if !has_known_effect(product) {
-            let reason = "none of idempotent, deduplicated and at_most_once: taken as the last";
+            let reason =
+                "not one of idempotent, deduplicated and at_most_once; treated as at_most_once";
             ignored_faults.push(invalid(&format!("{path}.Effect"), reason));
         }
     }
--- a/crates/node/src/config/values.rs
+++ b/crates/node/src/config/values.rs
@@ -1,16 +1,16 @@
-//! Parses the texts of keys and variables.
+//! Parses the values of keys and environment variables.
 use std::net::SocketAddr;
 
 use serde::de::{Deserialize, Deserializer, Error as _};
 
 use crate::error::{ConfigError, InvalidAddress};
 
-/// Highest descriptor number that a standard stream has.
+/// Highest descriptor of the standard streams.
 const LAST_STANDARD_STREAM: i32 = 2;
-/// Base of the seed's digits.
+/// Radix in which the seed is written.
 const SEED_RADIX: u32 = 16;
 
-/// An address; none where the text is empty.
+/// Deserializes an address; an empty string means none.
 pub(super) fn address<'de, D: Deserializer<'de>>(from: D) -> Result<Option<SocketAddr>, D::Error> {
     let text = Option::<String>::deserialize(from)?;
     text.filter(|text| !text.is_empty())
@@ -18,7 +18,7 @@
         .transpose()
 }
 
-/// A seed in hexadecimal digits.
+/// Deserializes a seed in hexadecimal digits.
 pub(super) fn seed<'de, D: Deserializer<'de>>(from: D) -> Result<Option<u64>, D::Error> {
     let text = Option::<String>::deserialize(from)?;
     let parse = |text: String| {
@@ -31,7 +31,7 @@
     text.map(parse).transpose()
 }
 
-/// The address that a variable of the environment gives.
+/// Parses the address in an environment variable.
 pub(super) fn address_variable(
     variable: &'static str,
     value: Option<String>,
@@ -42,7 +42,7 @@
         .map_err(|source| ConfigError::InvalidAddressVariable { variable, source })
 }
 
-/// The number of a listening socket, behind those of the standard streams.
+/// Parses the descriptor of a listening socket, which must not be a standard stream.
 pub(super) fn descriptor_variable(text: String) -> Result<i32, ConfigError> {
     text.parse()
         .ok()
