--- a/crates/node/src/commands/admin_client.rs
+++ b/crates/node/src/commands/admin_client.rs
@@ -1,4 +1,4 @@
-//! A blocking call to the admin address of a running node.
+//! Blocking HTTP client for the admin API of a running node.
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
@@ -9,37 +9,37 @@
 use crate::limits::Limits;
 use crate::resp::Parsed;
 
-/// For the connect, and for each read of the answer.
-const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Bytes of an answer at most.
+/// Timeout of the connect, and of each read of the response.
+const IO_TIMEOUT: Duration = Duration::from_secs(5);
+/// Longest response, in bytes.
 const MAX_RESPONSE_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Why a call to a node's admin address failed.
+/// Why a call to the admin API of a node failed.
 #[derive(Debug, Error)]
 pub enum AdminCallError {
-    /// What was named is no address.
+    /// The given address can't be parsed.
     #[error("not an address such as 127.0.0.1:7001")]
     InvalidAddress,
-    /// The connection could not be made, or broke.
+    /// The connection could not be established, or failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The node answered with another status than 200.
-    #[error("{status}: {body}")]
+    /// The node responded with a status other than 200.
+    #[error("HTTP status {status}: {body}")]
     Rejected {
-        /// The HTTP status.
+        /// HTTP status of the response.
         status: u16,
-        /// The node's reason.
+        /// Body of the response, which states the reason.
         body: String,
     },
-    /// The answer is no HTTP, or is cut short.
-    #[error("an answer that can't be read")]
+    /// The response is not HTTP, or is truncated.
+    #[error("malformed HTTP response")]
     MalformedResponse,
-    /// The body is no JSON.
+    /// The body of the response is not the expected JSON.
     #[error(transparent)]
     MalformedBody(#[from] serde_json::Error),
 }
 
-/// HTTP method of a call.
+/// HTTP method of a request.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Method {
     Get,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Calls the node at `address` and gives the body of its answer.
+/// Sends a request to the node at `address` and returns the body of its response.
 pub(super) fn call(
     address: &str,
     method: Method,
@@ -65,8 +65,8 @@
     let address: SocketAddr = address
         .parse()
         .map_err(|_| AdminCallError::InvalidAddress)?;
-    let mut stream = TcpStream::connect_timeout(&address, RESPONSE_TIMEOUT)?;
-    stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
+    let mut stream = TcpStream::connect_timeout(&address, IO_TIMEOUT)?;
+    stream.set_read_timeout(Some(IO_TIMEOUT))?;
     let request = format!(
         "{} {path} HTTP/1.1\r\nHost: {address}\r\nContent-Length: {}\r\n\r\n{body}",
         method.name(),
--- a/crates/node/src/commands/arguments.rs
+++ b/crates/node/src/commands/arguments.rs
@@ -1,4 +1,5 @@
-//! The program's arguments. The `///` lines of commands and arguments are also the texts of `--help`.
+//! Arguments of the program. The doc comments of commands and arguments are also the texts of
+//! `--help`.
 use clap::{Args, Parser, Subcommand};
 
 use super::{read_config, CommandError};
@@ -7,42 +8,42 @@
 #[derive(Debug, Parser)]
 #[command(name = "quartzhub", version)]
 pub struct Arguments {
-    /// The configuration, for the node or for a command that names none of its own.
+    /// Configuration of the node, and of a command that is given none of its own.
     #[command(flatten)]
     pub config: ConfigArgument,
-    /// What to do instead of serving.
+    /// Command to run instead of serving.
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
-/// What the program can do besides serving.
+/// The commands besides serving.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Says whether a configuration can be served
+    /// Validates a configuration without serving
     Check(ConfigArgument),
-    /// Asks a running node who is alive, and which orders hold
+    /// Prints the state of all nodes and the drain overrides, as seen by a running node
     Members(AdminTarget),
-    /// Has every node send nothing new to a server
+    /// Drains a server: no node sends it new requests
     Drain(ServerTarget),
-    /// Takes such an order back, at every node
+    /// Puts a drained server back in service at every node
     Restore(ServerTarget),
 }
 
 /// The argument that names a configuration file.
 #[derive(Debug, Args)]
 pub struct ConfigArgument {
-    /// JSON, or TOML where its name ends in .toml; instead of what LB_CONFIG names
+    /// Configuration file, TOML if its name ends in .toml and JSON otherwise; overrides LB_CONFIG
     #[arg(long = "config", value_name = "FILE")]
     pub file: Option<String>,
 }
 
-/// The arguments that say which running node is called.
+/// The arguments that select the running node to call.
 #[derive(Debug, Args)]
 pub struct AdminTarget {
-    /// The configuration that holds the node's admin address.
+    /// Configuration with the address of the node's admin API.
     #[command(flatten)]
     pub config: ConfigArgument,
-    /// where operators call the node; instead of what its configuration says
+    /// Address of the node's admin API; overrides `ops` of its configuration
     #[arg(long = "ops", value_name = "ADDR")]
     pub address: Option<String>,
 }
@@ -50,23 +51,23 @@
 /// The arguments of a command about one server.
 #[derive(Debug, Args)]
 pub struct ServerTarget {
-    /// the server's id in the list
+    /// Id of the server in the endpoint list
     #[arg(value_name = "ID")]
     pub server: String,
-    /// The node that is called.
+    /// The node to call.
     #[command(flatten)]
     pub admin: AdminTarget,
 }
 
 impl ConfigArgument {
-    /// The file that is named here, or else by `general`.
+    /// Returns the file named by these arguments, or else by `general`.
     pub fn or(self, general: ConfigArgument) -> Option<String> {
         self.file.or(general.file)
     }
 }
 
 impl AdminTarget {
-    /// The admin address of the node that is meant: as given, or else as its configuration has it.
+    /// Returns the admin address that was given, or else the one in the node's configuration.
     pub fn address(self, general: ConfigArgument) -> Result<String, CommandError> {
         if let Some(address) = self.address {
             return Ok(address);
--- a/crates/node/src/commands/error.rs
+++ b/crates/node/src/commands/error.rs
@@ -1,4 +1,4 @@
-//! Why a command of the program failed.
+//! Errors of the program's commands.
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,47 +8,47 @@
 use super::AdminCallError;
 use crate::error::ConfigError;
 
-/// Why a command of the program failed; its text is what the program prints.
+/// Why a command of the program failed. The program prints its text.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// The environment names a format of the log that there is not.
+    /// The environment names an unknown log format.
     #[error("LB_LOG: {name:?} is neither text nor json")]
     UnknownLogFormat {
-        /// The value of the variable.
+        /// Value of the environment variable.
         name: String,
     },
-    /// Neither an argument nor the environment names a configuration.
-    #[error("no configuration: name a file by --config or LB_CONFIG")]
+    /// Neither an argument nor the environment names a configuration file.
+    #[error("no configuration file is named: use --config or LB_CONFIG")]
     NoConfigFile,
-    /// The configuration can't be read or served.
+    /// The configuration can't be read or is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The configuration says nothing about where operators call.
-    #[error("{}: ops: missing", file.display())]
+    /// The configuration has no address for the admin API.
+    #[error("{}: ops: missing; name the address of the admin API there or by --ops", file.display())]
     NoAdminAddress {
         /// The configuration file.
         file: PathBuf,
     },
-    /// The node could not serve, or not go on serving.
-    #[error("{listen}: {source}")]
+    /// The node could not start, or stopped because of an error.
+    #[error("could not serve on {listen}: {source}")]
     Serve {
-        /// The address that the configuration names for clients.
+        /// Address for clients, from the configuration.
         listen: SocketAddr,
-        /// What failed.
+        /// The error of the system.
         source: io::Error,
     },
-    /// A running node did not do what it was called for.
-    #[error("{address}: {source}")]
+    /// A call to the admin API of a running node failed.
+    #[error("call to the admin API at {address} failed: {source}")]
     AdminCall {
-        /// The admin address that was called.
+        /// Address of the admin API that was called.
         address: String,
-        /// What went wrong.
+        /// Why the call failed.
         source: AdminCallError,
     },
 }
 
 impl CommandError {
-    /// A call to the node at `address` that failed.
+    /// Returns the error of a failed call to the node at `address`.
     pub(super) fn admin_call(address: &str, source: AdminCallError) -> CommandError {
         CommandError::AdminCall {
             address: address.to_owned(),
--- a/crates/node/src/commands/members.rs
+++ b/crates/node/src/commands/members.rs
@@ -1,9 +1,9 @@
-//! What the `members` command prints of a node's view.
+//! Output of the `members` command.
 use serde_json::Value;
 
 use crate::peers;
 
-/// Prints a summary, then a line for each node and one for each drain override.
+/// Prints a summary of a node's membership view, then one line per node and one per drain override.
 pub(super) fn print(view: &Value) {
     println!("{}", peers::summary(view));
     for node in view["nodes"].as_array().into_iter().flatten() {
@@ -20,24 +20,24 @@
     let state = node["state"].as_str().unwrap_or("");
     let since = seconds_or_never(&node["since_ms"]);
     let incarnation = &node["number"];
-    let heard = seconds_or_never(&node["heard_ms"]);
+    let last_heard = seconds_or_never(&node["heard_ms"]);
     let suspected_by = suspected_by(node);
     format!(
-        "{id:>5}  {address:<22}{state:<9}for {since:<10} number {incarnation}, last heard {heard}{suspected_by}"
+        "{id:>5}  {address:<22}{state:<9}for {since:<10} number {incarnation}, last heard {last_heard}{suspected_by}"
     )
 }
 
 fn suspected_by(node: &Value) -> String {
-    let suspecting: Vec<_> = node["suspected_by"]
+    let suspectors: Vec<_> = node["suspected_by"]
         .as_array()
         .into_iter()
         .flatten()
         .map(Value::to_string)
         .collect();
-    if suspecting.is_empty() {
+    if suspectors.is_empty() {
         return String::new();
     }
-    format!(", suspected by {}", suspecting.join(" "))
+    format!(", suspected by {}", suspectors.join(" "))
 }
 
 fn drain_override_line(drain_override: &Value) -> String {
--- a/crates/node/src/config/read.rs
+++ b/crates/node/src/config/read.rs
@@ -24,7 +24,7 @@
         } else {
             Config::parse(&text, environment.clone())
         };
-        let mut config = parsed.map_err(|fault| fault.in_file(file))?;
+        let mut config = parsed.map_err(|error| error.in_file(file))?;
         config.source = Some(ConfigSource {
             file: file.to_owned(),
             environment,
--- a/crates/node/src/config/tests.rs
+++ b/crates/node/src/config/tests.rs
@@ -8,7 +8,7 @@
             let ignored = config
                 .ignored_faults
                 .iter()
-                .map(|fault| format!(" ({fault})"));
+                .map(|error| format!(" ({error})"));
             format!(
                 "{} on {}{}\n",
                 config.name,
@@ -16,7 +16,7 @@
                 ignored.collect::<String>()
             )
         }
-        Err(fault) => format!("{fault}\n"),
+        Err(error) => format!("{error}\n"),
     }
 }
 
@@ -30,7 +30,7 @@
             config.listen,
             quartzhub_settings::products(&config.settings).len()
         ),
-        Err(fault) => format!("{fault}\n"),
+        Err(error) => format!("{error}\n"),
     };
     let outcomes = [
         outcome(valid),
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -1,4 +1,5 @@
-//! Faults of a configuration, each with the file and the key or the variable that it stands in.
+//! Errors of a configuration. Each names the file and the key, or the environment variable, that it
+//! is about.
 use std::error::Error as StdError;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -7,43 +8,43 @@
 
 use crate::peers::config::PeerConfigError;
 
-/// Why a configuration can't be served, or what in it is ignored.
+/// Why a configuration is invalid, or a problem in it that is only logged.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The file can't be read; what is in it may be valid.
+    /// The file can't be read; its contents may be valid.
     #[error("{}: {source}", file.display())]
     UnreadableFile {
-        /// The file that was named.
+        /// The file that was to be read.
         file: PathBuf,
-        /// What the system says.
+        /// The error of the system.
         source: io::Error,
     },
-    /// A fault in what a file says.
+    /// The contents of the file are invalid.
     #[error("{}: {source}", file.display())]
     InFile {
         /// The file that was read.
         file: PathBuf,
-        /// The fault in it.
+        /// What is wrong with its contents.
         source: Box<ConfigError>,
     },
-    /// The text is no JSON.
+    /// The text is not valid JSON.
     #[error(transparent)]
     Json(serde_json::Error),
-    /// The text is no TOML.
+    /// The text is not valid TOML.
     #[error("{}", in_one_line(&source.to_string()))]
     Toml {
-        /// What the parser says, mostly in several lines.
+        /// The error of the parser, whose text mostly has several lines.
         source: Box<dyn StdError + Send + Sync>,
     },
-    /// A key has a value of another type than it should.
+    /// A key has a value of the wrong type.
     #[error("{key}: {source}")]
     WrongType {
         /// The key's path.
         key: String,
-        /// What the parser says.
+        /// The error of the parser.
         source: serde_json::Error,
     },
-    /// A key has a value that it must not have.
+    /// A key has a value that is not allowed.
     #[error("{key}: {reason}")]
     InvalidValue {
         /// The key's path.
@@ -51,44 +52,46 @@
         /// What is wrong with the value.
         reason: String,
     },
-    /// A key is needed and not there.
+    /// A required key is missing.
     #[error("{key}: missing")]
     MissingKey {
         /// The key's path.
         key: String,
     },
-    /// A variable of the environment that has to be an address is none.
+    /// An environment variable that must be an address is not one.
     #[error("{variable}: {source}")]
     InvalidAddressVariable {
         /// The variable's name.
         variable: &'static str,
-        /// What stands there instead.
+        /// The invalid value.
         source: InvalidAddress,
     },
-    /// The variable that has to be the number of a listening socket is none.
-    #[error("LB_INHERITED_FD: {text:?} is not the number of a descriptor")]
+    /// `LB_INHERITED_FD` is not a number, or is the descriptor of a standard stream.
+    #[error(
+        "LB_INHERITED_FD: {text:?} is not a number above 2, as needed for an inherited descriptor"
+    )]
     InvalidDescriptorVariable {
-        /// What stands there instead.
+        /// Value of the variable.
         text: String,
     },
-    /// A configuration that came from no file can't be read again.
-    #[error("not read from a file")]
+    /// The configuration was not read from a file, so it can't be reloaded.
+    #[error("can't be reloaded, as it was not read from a file")]
     NoFile,
-    /// A fault in the keys about other nodes.
+    /// The keys about other nodes are invalid.
     #[error(transparent)]
     Peers(#[from] PeerConfigError),
 }
 
-/// A text that has to be an address and is none.
+/// A text that must be an address and is not one.
 #[derive(Debug, Error)]
 #[error("{text:?} is not an address such as 127.0.0.1:6379")]
 pub struct InvalidAddress {
-    /// The text.
+    /// The invalid text.
     pub text: String,
 }
 
 impl ConfigError {
-    /// A key with a value that it must not have.
+    /// Returns the error of a key whose value is not allowed.
     pub fn invalid_value(key: impl Into<String>, reason: impl Into<String>) -> ConfigError {
         ConfigError::InvalidValue {
             key: key.into(),
@@ -96,12 +99,12 @@
         }
     }
 
-    /// A key that is needed and not there.
+    /// Returns the error of a required key that is missing.
     pub fn missing_key(key: impl Into<String>) -> ConfigError {
         ConfigError::MissingKey { key: key.into() }
     }
 
-    /// The same fault, with the file that it stands in.
+    /// Returns this error with the file in which it occurred.
     pub fn in_file(self, file: &Path) -> ConfigError {
         ConfigError::InFile {
             file: file.to_owned(),
@@ -109,7 +112,7 @@
         }
     }
 
-    /// Whether the file could not be read at all, so that its contents may be valid.
+    /// Whether the file could not be read at all, in which case its contents may be valid.
     pub fn is_unreadable_file(&self) -> bool {
         matches!(self, ConfigError::UnreadableFile { .. })
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -66,7 +66,7 @@
         let stop = shutdown::stop_signal()?;
         serve(config, inherited, stop, reload_requested).await
     });
-    log_writer.end(&limits);
+    log_writer.finish(&limits);
     result
 }
 
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,5 +1,5 @@
-//! The log: `tracing` events on standard error, as text or as JSON lines, at a bounded rate, and written by a thread of
-//! their own.
+//! The log: `tracing` events on standard error, as text or JSON lines, at a limited rate. A
+//! separate thread writes them.
 use std::cell::Cell;
 use std::fmt;
 use std::io::{self, Write};
@@ -19,19 +19,19 @@
 #[cfg(test)]
 mod tests;
 
-/// How lines are written.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Format {
-    /// The message alone, for people.
+    /// Only the message, for people.
     #[default]
     Text,
-    /// An object a line, with time, level and fields, for programs.
+    /// One object per line with time, level and fields, for programs.
     Json,
 }
 
 impl Format {
-    /// The format of that name, if there is one.
-    pub fn named(name: &str) -> Option<Format> {
+    /// Returns the format with this name, if there is one.
+    pub fn from_name(name: &str) -> Option<Format> {
         match name {
             "text" => Some(Format::Text),
             "json" => Some(Format::Json),
@@ -40,54 +40,57 @@
     }
 }
 
-/// A token bucket over lines, which wait here for the thread that writes them. Guards against a reader of the log
-/// that has stopped reading: a write to its full pipe would hold up the node.
+/// Limits the rate of lines by a token bucket, and queues them for the thread that writes them. If
+/// the node wrote lines itself, a reader of the log that stops reading would block it once the pipe
+/// is full.
 struct LineLimiter {
     lines_per_second: f64,
     burst_lines: f64,
-    /// Lines that may be written at once.
+    /// Number of lines that may be written now.
     tokens: f64,
     refilled_at: Instant,
-    /// Lines dropped since one was written.
+    /// Number of lines dropped since the last written one.
     dropped: u64,
     queue: SyncSender<Vec<u8>>,
 }
 
-/// Whether lines are JSON.
+/// Whether the format of lines is JSON.
 static IS_JSON: AtomicBool = AtomicBool::new(false);
-/// The limit on lines; none before the node starts and after its end.
+/// Limiter of the log; `None` before the node starts and after it has ended, when lines are written
+/// directly.
 static LIMITER: OnceLock<Mutex<Option<LineLimiter>>> = OnceLock::new();
 
 thread_local! {
-    /// Guards against a line about writing a line.
+    /// Whether this thread is writing a line. Events that the writing itself causes are dropped, as
+    /// they would recurse.
     static IS_WRITING: Cell<bool> = const { Cell::new(false) };
 }
 
-/// Starts the log. Until `start`, lines of the program are written at once; one that embeds a node brings a subscriber
-/// of its own.
+/// Installs the log's subscriber. Until `start_writer`, lines are written directly. A program that
+/// embeds a node may install its own subscriber instead.
 pub fn init(format: Format) {
     IS_JSON.store(format == Format::Json, Relaxed);
     let subscriber = tracing_subscriber::fmt()
         .with_max_level(Level::INFO)
         .event_format(EventFormatter)
         .with_writer(LineWriter);
-    // A subscriber may be set already, as in a test of several nodes.
+    // A subscriber may already be installed, as in a test that runs several nodes.
     let _ = subscriber.try_init();
 }
 
-/// The thread that writes lines; it ends with the limiter.
-pub struct Writer {
-    /// Disconnected once the thread has ended.
+/// Handle of the thread that writes lines. The thread ends once the limiter is removed.
+pub struct WriterThread {
+    /// Disconnects when the thread ends.
     ended: Receiver<()>,
 }
 
-/// Bounds the rate of lines and has them written by another thread from now on.
-pub fn start_writer(limits: &Limits) -> Writer {
+/// Starts the thread that writes lines. From now on their rate is limited.
+pub fn start_writer(limits: &Limits) -> WriterThread {
     let (queue, lines) = sync_channel::<Vec<u8>>(limits.log_burst_lines as usize);
-    let (running, ended) = channel();
+    let (thread_guard, ended) = channel();
     std::thread::spawn(move || {
         lines.iter().for_each(|line| write_to_stderr(&line));
-        drop(running);
+        drop(thread_guard);
     });
     set_limiter(Some(LineLimiter {
         lines_per_second: limits.log_lines_per_second,
@@ -97,7 +100,7 @@
         dropped: 0,
         queue,
     }));
-    Writer { ended }
+    WriterThread { ended }
 }
 
 fn set_limiter(limiter: Option<LineLimiter>) {
@@ -108,16 +111,16 @@
     *current = limiter;
 }
 
-impl Writer {
-    /// Waits, not for ever, until the lines so far are written.
-    pub fn end(self, limits: &Limits) {
+impl WriterThread {
+    /// Waits until all queued lines are written, for at most `log_flush_timeout`.
+    pub fn finish(self, limits: &Limits) {
         set_limiter(None);
         let _ = self.ended.recv_timeout(duration(limits.log_flush_timeout));
     }
 }
 
 impl LineLimiter {
-    /// Queues a line, and before it how many were dropped, if the rate allows it.
+    /// Queues a line if the rate allows it, preceded by a notice of the lines dropped before it.
     fn write_line(&mut self, line: &[u8], now: Instant) {
         let Some(dropped) = self.take_token(now) else {
             return;
@@ -128,7 +131,8 @@
         self.enqueue(line.to_vec());
     }
 
-    /// Whether one more line may be written, and how many were dropped before it.
+    /// Takes a token for one line. Returns how many lines were dropped before it, or `None` if
+    /// there is no token.
     fn take_token(&mut self, now: Instant) -> Option<u64> {
         let elapsed = now
             .saturating_duration_since(self.refilled_at)
@@ -161,12 +165,13 @@
     (line + "\n").into_bytes()
 }
 
-/// Guards against the panic of `eprintln` when nobody reads standard error any more: it would abort the node.
+/// Writes to standard error and ignores errors. `eprintln` would panic, and so abort the node, once
+/// nobody reads it.
 fn write_to_stderr(line: &[u8]) {
     let _ = io::stderr().write_all(line);
 }
 
-/// Where formatted lines go: each comes in one write.
+/// Receives formatted lines from `tracing`, one line per write.
 struct LineWriter;
 
 impl Write for LineWriter {
@@ -198,7 +203,7 @@
     }
 }
 
-/// Formats an event as a line of the format that was chosen.
+/// Formats an event as a line of the selected format.
 struct EventFormatter;
 
 impl<S, N> FormatEvent<S, N> for EventFormatter
@@ -225,7 +230,7 @@
     }
 }
 
-/// Takes an event's message; its other fields are for programs.
+/// Extracts the message of an event. Its other fields are only written as JSON.
 #[derive(Default)]
 struct MessageVisitor {
     message: String,
--- a/crates/node/src/log/tests.rs
+++ b/crates/node/src/log/tests.rs
@@ -1,10 +1,10 @@
-//! The limit on the rate of lines.
+//! The limit on the rate of log lines.
 use super::*;
 use std::time::Duration;
 
 #[test]
-fn lines_over_the_rate_are_dropped_and_counted_and_a_reader_that_stands_still_holds_up_nobody() {
-    let (queue, lines) = sync_channel(3);
+fn lines_above_the_rate_or_the_queue_are_dropped_and_counted() {
+    let (queue, queued_lines) = sync_channel(3);
     let now = Instant::now();
     let mut limiter = LineLimiter {
         lines_per_second: 1.0,
@@ -15,9 +15,10 @@
         queue,
     };
     (0..4).for_each(|i| limiter.write_line(format!("{i}\n").as_bytes(), now));
-    // A second later there is room for one, and a place for the count, but none for the line behind it.
+    // One second later there is a token for one line. The queue has space for the notice of dropped
+    // lines, but not for the line itself.
     limiter.write_line(b"4\n", now + Duration::from_secs(1));
-    let written: Vec<_> = lines
+    let written: Vec<_> = queued_lines
         .try_iter()
         .map(|line| String::from_utf8_lossy(&line).into_owned())
         .collect();
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -5,7 +5,8 @@
 use quartzhub_node::commands::{self, Arguments};
 
 fn main() -> ExitCode {
-    // Guards against arguments that are read while the log's format is not known yet: their faults are told in it.
+    // The log starts before the arguments are parsed, so that errors of commands are logged in the
+    // configured format.
     let result = commands::start_log().and_then(|()| commands::run(Arguments::parse()));
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,35 +1,35 @@
-//! What operators read of a node: counters that start at 0 with the process, and gauges.
+//! Metrics of a node: counters that start at 0 with the process, and gauges.
 use std::collections::BTreeMap;
 
 use crate::messages::Response;
 
-/// Final responses to the API calls of one product.
+/// Numbers of final responses to the API calls of one product.
 #[derive(Debug, Clone, Copy, Default, PartialEq, serde::Serialize)]
 pub struct ResponseCounts {
-    /// Answered with the value or the write's receipt.
+    /// Calls that got the value or the receipt of the write.
     #[serde(rename = "ok")]
     pub fulfilled: u64,
-    /// Rejected without effect, to be retried later.
+    /// Calls that were rejected without effect and may be retried later.
     #[serde(rename = "shed")]
     pub rate_limited: u64,
-    /// Answered with an error that promises nothing about the call's effect.
+    /// Calls that got an error, which says nothing about whether the call took effect.
     #[serde(rename = "errors")]
     pub errored: u64,
 }
 
-/// A snapshot, serialized under the names that operators' tools read.
+/// A snapshot of the metrics, serialized under the names that tools of operators read.
 #[derive(Debug, serde::Serialize)]
 pub struct Metrics<'a> {
     /// Final responses by product.
     pub responses: BTreeMap<&'a str, ResponseCounts>,
-    /// Attempts whose last byte was written, to caches and to the origin.
+    /// Attempts at caches and the origin whose last byte was written.
     #[serde(rename = "tries")]
     pub attempts: u64,
-    /// API calls that are open now, values that are being streamed included.
+    /// API calls that are open now, including those whose value is being streamed.
     pub active: usize,
-    /// Caches that the endpoint list names.
+    /// Caches in the endpoint list.
     pub pool_size: usize,
-    /// Caches that are ejected as outliers now.
+    /// Caches that are currently ejected as outliers.
     pub pool_ejected: usize,
     /// Configuration reloads that were applied.
     pub config_applied: u64,
@@ -37,7 +37,7 @@
     pub config_rejected: u64,
 }
 
-/// A product's counter, the same for the life of the process.
+/// Index of a product's counter, which stays the same for the life of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CounterIndex(usize);
 
@@ -48,31 +48,32 @@
     responses: ResponseCounts,
 }
 
-/// Response counts by product. A product that the settings have dropped keeps its counts, so that no counter ever
-/// falls.
+/// Response counts by product. A product that was removed from the settings keeps its counts, so
+/// that no counter ever decreases.
 #[derive(Debug, Default)]
 pub struct ProductCounters {
     counters: Vec<ProductCounter>,
 }
 
 impl ProductCounters {
-    /// The product's counter, which is added if there is none yet; `None` for a new product once there are `most`.
-    pub fn index_of(&mut self, name: &str, most: usize) -> Option<CounterIndex> {
-        let known = self
+    /// Returns the index of a product's counter, which is added if it is missing; `None` if there
+    /// are already `max_products` others.
+    pub fn index_of(&mut self, name: &str, max_products: usize) -> Option<CounterIndex> {
+        let existing = self
             .counters
             .iter()
             .position(|counter| counter.product == name);
-        if known.is_none() && self.counters.len() < most {
+        if existing.is_none() && self.counters.len() < max_products {
             self.counters.push(ProductCounter {
                 product: name.to_owned(),
                 responses: ResponseCounts::default(),
             });
             return Some(CounterIndex(self.counters.len() - 1));
         }
-        known.map(CounterIndex)
+        existing.map(CounterIndex)
     }
 
-    /// Counts a final response, unless its product has no counter.
+    /// Counts a final response. Does nothing if its product has no counter.
     pub fn count(&mut self, counter: Option<CounterIndex>, response: &Response) {
         let Some(counter) = counter.and_then(|index| self.counters.get_mut(index.0)) else {
             return;
@@ -85,7 +86,7 @@
         }
     }
 
-    /// The counts of every product, by its name.
+    /// Returns the counts of all products by name.
     pub fn all(&self) -> BTreeMap<&str, ResponseCounts> {
         self.counters
             .iter()
--- a/crates/node/src/peers/config.rs
+++ b/crates/node/src/peers/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of the messages between nodes, read and checked.
+//! The validated configuration of the messages between nodes.
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
@@ -9,72 +9,76 @@
 
 use crate::error::ConfigError;
 
-/// Most nodes that the bounded entries of datagrams have room for.
+/// Most nodes of a fleet: the entries of datagrams are too small for more.
 const MAX_PEERS: usize = 8_192;
 
-/// The fleet's name where the configuration gives none.
+/// Name of the fleet if the configuration gives none.
 const DEFAULT_FLEET: &str = "quartzhub";
 
-/// Where the nodes of the fleet are, and which of them this one is.
+/// Addresses of the nodes of the fleet, and the index of this node among them.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PeerConfig {
-    /// Where this node receives datagrams.
+    /// Address at which this node receives datagrams.
     pub listen: SocketAddr,
-    /// Addresses of all nodes, this one's among them, in the order of their ids.
+    /// Addresses of all nodes including this one, in the order of their ids.
     pub peers: Vec<SocketAddr>,
-    /// This node's place in `peers`.
+    /// Index of this node in `peers`.
     pub me: u16,
-    /// Datagrams of another fleet are dropped.
+    /// Name of the fleet. Datagrams of other fleets are dropped.
     pub fleet: String,
     /// Whether nodes exchange load reports and leases.
     pub coordination: bool,
-    /// Features of the membership that a test switches off.
+    /// Features of membership that a test disables.
     pub disabled: DisabledFeatures,
 }
 
-/// Why the configuration of the messages between nodes is not valid, or what in it is ignored.
+/// Why the configuration of the messages between nodes is invalid, or a problem in it that is only
+/// logged.
 #[derive(Debug, Error)]
 pub enum PeerConfigError {
     /// The settings forbid messages between nodes, so membership stays off.
-    #[error("membership: the settings allow no messages between nodes (settings.Caps.Peers): off")]
+    #[error("membership: stays off, as settings.Caps.Peers does not allow messages between nodes")]
     NotPermitted,
-    /// A feature is switched off, as only tests do.
-    #[error("membership_without: {0}: broken on purpose, for tests only")]
+    /// A feature is disabled, as only tests do.
+    #[error("membership_without: {0} is disabled; for tests only")]
     FeatureDisabled(String),
-    /// There is no address to receive datagrams at.
-    #[error("peer_listen: is needed for membership")]
+    /// No address to receive datagrams at is given.
+    #[error("peer_listen: an address to receive datagrams at is needed for membership")]
     NoListenAddress,
-    /// There is no list of the nodes' addresses, or it is too long.
-    #[error("peers: a list of addresses is needed for membership, one for each node")]
+    /// The list of the nodes' addresses is missing, empty or too long.
+    #[error(
+        "peers: a list of 1 to {MAX_PEERS} addresses, one for each node, is needed for membership"
+    )]
     NoPeers,
-    /// An entry of the list is no address.
+    /// An entry of the list is not an address.
     #[error("peers[{index}]: {value} is not an address such as 127.0.0.1:7946")]
     NotAnAddress {
-        /// Its place in the list.
+        /// Index of the entry.
         index: usize,
-        /// What stands there.
+        /// Value of the entry.
         value: serde_json::Value,
     },
-    /// The settings do not say which of the addresses is this node's.
-    #[error("settings.Me: this node's place in peers is needed for membership")]
-    NoOwnPlace,
+    /// The settings don't say which of the addresses belongs to this node.
+    #[error("settings.Me: the index of this node in peers is needed for membership")]
+    NoOwnIndex,
     /// Two nodes have the same address.
-    #[error("peers: an address stands twice")]
+    #[error("peers: more than one node has the same address")]
     DuplicateAddress,
-    /// A feature to be switched off that there is not.
-    #[error("membership_without[{index}]: {name:?} is none of {}", FEATURE_NAMES.join(", "))]
+    /// A feature to disable is unknown.
+    #[error("membership_without[{index}]: {name:?} is not one of {}", FEATURE_NAMES.join(", "))]
     UnknownFeature {
-        /// Its place in the list.
+        /// Index of the entry.
         index: usize,
-        /// Its name.
+        /// Name of the feature.
         name: String,
     },
 }
 
 impl PeerConfig {
-    /// Checks keys that were read; none where membership is off. `on`: whether the file asks for it.
+    /// Validates the keys of a configuration file; `requested` is the key `membership`. Returns
+    /// `None` if membership is off.
     pub fn checked(
-        on: bool,
+        requested: bool,
         listen: Option<SocketAddr>,
         peers: &serde_json::Value,
         fleet: Option<String>,
@@ -82,7 +86,7 @@
         settings: &Settings,
         ignored_faults: &mut Vec<ConfigError>,
     ) -> Result<Option<PeerConfig>, ConfigError> {
-        if !on {
+        if !requested {
             return Ok(None);
         }
         if !settings.flag("caps.peers") {
@@ -91,7 +95,7 @@
         }
         let listen = listen.ok_or(PeerConfigError::NoListenAddress)?;
         let peers = parse_peers(peers)?;
-        let me = own_place(settings, &peers)?;
+        let me = own_index(settings, &peers)?;
         let distinct: BTreeSet<_> = peers.iter().collect();
         if distinct.len() < peers.len() {
             return Err(PeerConfigError::DuplicateAddress.into());
@@ -128,12 +132,12 @@
     peers.iter().enumerate().map(parse).collect()
 }
 
-fn own_place(settings: &Settings, peers: &[SocketAddr]) -> Result<u16, PeerConfigError> {
-    let place = settings.number("me", -1.0);
-    if place < 0.0 || place as usize >= peers.len() {
-        return Err(PeerConfigError::NoOwnPlace);
+fn own_index(settings: &Settings, peers: &[SocketAddr]) -> Result<u16, PeerConfigError> {
+    let index = settings.number("me", -1.0);
+    if index < 0.0 || index as usize >= peers.len() {
+        return Err(PeerConfigError::NoOwnIndex);
     }
-    Ok(place as u16)
+    Ok(index as u16)
 }
 
 fn parse_disabled(names: &[String]) -> Result<DisabledFeatures, PeerConfigError> {
--- a/crates/node/src/peers/coordination.rs
+++ b/crates/node/src/peers/coordination.rs
@@ -1,4 +1,4 @@
-//! Runs the coordinator: reports this node's load, and renews its leases.
+//! Runs the coordinator, which reports this node's load and renews its leases.
 use std::rc::Rc;
 
 use quartzhub_membership::{Datagram, NodeId};
@@ -9,7 +9,7 @@
 use crate::reducer::Reducer;
 
 impl Peers {
-    /// Does what is due of load reports and leases, where they are on.
+    /// Sends the load reports and lease messages that are due, if coordination is on.
     pub(super) fn tick_coordinator(
         &self,
         now: Time,
--- a/crates/node/src/peers/drain_overrides.rs
+++ b/crates/node/src/peers/drain_overrides.rs
@@ -1,4 +1,5 @@
-//! Operators' drain overrides: given to this node or received from others, the reducer goes by them.
+//! Drain overrides of operators. Those made at this node and those received from other nodes are
+//! passed to the reducer.
 use std::collections::HashSet;
 use std::rc::Rc;
 
@@ -9,45 +10,45 @@
 use crate::effects::EffectExecutor;
 use crate::reducer::DrainRejected;
 
-/// Why an operator's order about a server is not taken.
+/// Why an operator's drain override of a server is rejected.
 #[derive(Debug, Error)]
-pub enum OrderError {
-    /// The reducer may not drain this server.
+pub enum DrainOverrideError {
+    /// This server must not be drained.
     #[error(transparent)]
     NotDrainable(#[from] DrainRejected),
-    /// There is no override that could be revoked.
+    /// There is no drain override that could be revoked.
     #[error("no order about it is known")]
     Unknown,
-    /// This node may not know the override that holds.
+    /// This node has just started and may not know the drain override in force.
     #[error("this node has just started and may not know what holds; ask again in some seconds")]
     JustStarted,
-    /// As many drains hold as are kept.
+    /// The limit on drained servers is reached.
     #[error("as many servers are drained as orders are kept")]
     Full,
 }
 
-impl From<OverrideRejected> for OrderError {
-    fn from(rejected: OverrideRejected) -> OrderError {
+impl From<OverrideRejected> for DrainOverrideError {
+    fn from(rejected: OverrideRejected) -> DrainOverrideError {
         match rejected {
-            OverrideRejected::Started => OrderError::JustStarted,
-            OverrideRejected::Full => OrderError::Full,
+            OverrideRejected::Started => DrainOverrideError::JustStarted,
+            OverrideRejected::Full => DrainOverrideError::Full,
         }
     }
 }
 
 impl Peers {
-    /// An operator's order about a server, which then holds at every node: to drain it, or to use it again.
+    /// Drains a server, or revokes its drain, at every node, on behalf of an operator.
     pub fn set_drain_override(
         &self,
         executor: &Rc<EffectExecutor>,
         id: &str,
         drain: bool,
-    ) -> Result<DrainOverride, OrderError> {
+    ) -> Result<DrainOverride, DrainOverrideError> {
         let server = ServerId::named(id);
         if drain {
             executor.query(|reducer| reducer.check_drainable(id))?;
         } else if !self.has_drain_override(server) {
-            return Err(OrderError::Unknown);
+            return Err(DrainOverrideError::Unknown);
         }
         let now = self.clock.now();
         let mut out = Vec::new();
@@ -58,10 +59,14 @@
         self.send(out);
         self.apply_drain_overrides(executor);
         let issued = issued?;
-        let state = if drain { "drained" } else { "in service again" };
+        let change = if drain {
+            "drained"
+        } else {
+            "put back in service"
+        };
         tracing::info!(
             version = issued.version,
-            "drain overrides: {id} is {state} by an operator's order"
+            "drain overrides: server {id} was {change} by an operator"
         );
         Ok(issued)
     }
@@ -73,7 +78,7 @@
             .any(|entry| entry.value.server == server)
     }
 
-    /// Has the reducer go by the drain overrides that hold now.
+    /// Passes the drain overrides in force to the reducer, if they have changed.
     pub(super) fn apply_drain_overrides(&self, executor: &Rc<EffectExecutor>) {
         let revision = self.membership.borrow().drain_overrides_revision();
         if self.applied_drain_overrides.replace(revision) == revision {
--- a/crates/node/src/peers/logging.rs
+++ b/crates/node/src/peers/logging.rs
@@ -1,17 +1,17 @@
-//! Log lines about the other nodes.
+//! Log lines about the other nodes and the budget share of this one.
 use std::cell::Cell;
 
 use quartzhub_membership::StateChange;
 
 use super::Peers;
 
-/// Changes of the budget share up to this are of rounding.
+/// Changes of the budget share up to this value are rounding errors and not logged.
 const MIN_SHARE_CHANGE: f64 = 1e-9;
 
-/// What was logged last.
+/// The state that was logged last.
 #[derive(Debug, Default)]
 pub(super) struct LoggedState {
-    /// How many changes of state were logged.
+    /// Number of state changes that were logged.
     changes: Cell<u64>,
     is_isolated: Cell<bool>,
     budget_share: Cell<f64>,
@@ -27,7 +27,8 @@
 }
 
 impl Peers {
-    /// Logs the changes of nodes' states since the last call, and whether this node has become isolated.
+    /// Logs the changes of nodes' states since the last call, and whether this node has become
+    /// isolated or is no longer so.
     pub(super) fn log_changes(&self) {
         let membership = self.membership.borrow();
         let change_count = membership.change_count();
@@ -49,12 +50,15 @@
                 "membership: nobody answers; who is alive is not known"
             );
         } else {
-            tracing::warn!(isolated = false, "membership: other nodes answer again");
+            tracing::warn!(
+                isolated = false,
+                "membership: another node answers; this node is no longer isolated"
+            );
         }
     }
 }
 
-/// The laboratory reads this line.
+/// Logs a change of a node's state. quartzhub-lab parses the message.
 fn log_state_change(change: &StateChange) {
     let of = change.node.0;
     let from = change.from.operator_name();
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -1,5 +1,6 @@
-//! The other nodes: a datagram socket, and behind it the membership and the coordination. Operators read what they learn, and
-//! their drain overrides reach every node; no API call waits for it.
+//! Communication with the other nodes: a datagram socket, used by the membership protocol and by
+//! coordination (load reports and leases). Operators can read this node's view of the fleet, and
+//! their drain overrides reach every node. No API call waits for any of it.
 pub mod config;
 mod coordination;
 mod drain_overrides;
@@ -26,11 +27,12 @@
 use crate::effects::EffectExecutor;
 use crate::system::bind_with_retry;
 use config::PeerConfig;
-pub use drain_overrides::OrderError;
+pub use drain_overrides::DrainOverrideError;
 use logging::LoggedState;
 pub use view::{summary, CoordinationView, DrainOverrideView, MembershipView, NodeView};
 
-/// Most datagrams taken in before the timer is looked at. Guards against a flood that would starve it.
+/// Most datagrams received before the timers are checked. Without a bound, a flood of datagrams
+/// would starve them.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
 
 /// This node's view of the other nodes, and its socket for datagrams between them.
@@ -40,19 +42,19 @@
     socket: UdpSocket,
     clock: Clock,
     membership: RefCell<Membership>,
-    /// Load reports and leases, where they are on.
+    /// Load reports and leases; `None` if coordination is off.
     coordinator: Option<RefCell<Coordinator>>,
-    /// Datagrams from addresses that no peer has.
+    /// Number of datagrams from addresses that belong to no peer.
     unknown_senders: Cell<u64>,
-    /// Revision of the drain overrides that the reducer goes by.
+    /// Revision of the drain overrides that were last passed to the reducer.
     applied_drain_overrides: Cell<u64>,
     logged: LoggedState,
-    /// Another node was heard from.
+    /// Notified when a datagram of another node is accepted.
     contact: Notify,
 }
 
 impl Peers {
-    /// Binds the socket and starts the protocols' timers.
+    /// Binds the socket and starts the membership and coordination protocols.
     pub async fn open(
         config: PeerConfig,
         seed: u64,
@@ -88,7 +90,7 @@
         }))
     }
 
-    /// Receives datagrams and runs the timers, for ever.
+    /// Receives datagrams and runs the timers; never returns.
     pub async fn run(self: Rc<Peers>, executor: Rc<EffectExecutor>) {
         loop {
             let due = self.clock.instant(self.due());
@@ -119,14 +121,14 @@
         }
     }
 
-    /// Takes in the datagrams that have arrived.
+    /// Receives the datagrams that have arrived.
     fn receive(&self, out: &mut Vec<Datagram>) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
             match self.socket.try_recv_from(&mut buffer) {
                 Ok((size, from)) => self.on_datagram(from, &buffer[..size], out),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-                // Of an earlier datagram that could not be delivered.
+                // This error is about an earlier datagram that could not be delivered.
                 Err(_) => {}
             }
         }
@@ -154,15 +156,16 @@
         out: &mut Vec<Datagram>,
     ) {
         let mut membership = self.membership.borrow_mut();
-        let admitted_before = membership.counters().traffic.received;
+        let accepted_before = membership.counters().traffic.received;
         membership.receive(now, from, bytes, out);
-        // Guards against taking a datagram that was dropped for a contact.
-        if membership.counters().traffic.received > admitted_before {
+        // A datagram that membership dropped is no contact.
+        if membership.counters().traffic.received > accepted_before {
             self.contact.notify_one();
         }
     }
 
-    /// Sends datagrams; what the socket does not take at once is lost, as any datagram may be.
+    /// Sends datagrams. Those that the socket does not take at once are lost, as any datagram may
+    /// be.
     fn send(&self, datagrams: Vec<Datagram>) {
         for Datagram { to, bytes } in datagrams {
             if let Some(addr) = self.config.peers.get(to.index()) {
@@ -171,14 +174,15 @@
         }
     }
 
-    /// Waits until a datagram of another node was admitted, which also brings the drain overrides that hold.
+    /// Waits until a datagram of another node is accepted; it also carries the drain overrides in
+    /// force. Returns at once if there is no other node.
     pub async fn wait_for_contact(&self) {
         if self.config.peers.len() > 1 {
             self.contact.notified().await;
         }
     }
 
-    /// Tells other nodes that this one leaves as planned.
+    /// Notifies the other nodes that this one leaves in order.
     pub fn leave(&self) {
         let mut out = Vec::new();
         let now = self.clock.now();
--- a/crates/node/src/peers/tests.rs
+++ b/crates/node/src/peers/tests.rs
@@ -1,4 +1,4 @@
-//! The names that operators read and the texts of rejected configurations are part of the node's interface.
+//! Names in the membership view and texts of configuration errors, both of which operators rely on.
 use std::net::SocketAddr;
 
 use quartzhub_membership::{DisabledFeatures, ServerId};
@@ -13,7 +13,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// Paths of all keys, each element of a list under `[]`.
+/// Appends the paths of all keys; elements of a list get the path segment `[]`.
 fn key_paths(value: &serde_json::Value, path: &str, paths: &mut Vec<String>) {
     match value {
         serde_json::Value::Object(object) => {
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn operators_read_these_names() {
+async fn membership_view_keeps_its_field_names() {
     let config = PeerConfig {
         listen: local(0),
         peers: vec![local(7946)],
@@ -115,7 +115,7 @@
     let settings = serde_json::json!({ "Me": me, "Caps": { "Peers": true } });
     let settings = Settings::from_document(&settings);
     let disabled: Vec<String> = disabled.iter().map(|name| name.to_string()).collect();
-    let mut passed_over = Vec::new();
+    let mut ignored_faults = Vec::new();
     PeerConfig::checked(
         true,
         listen,
@@ -123,23 +123,23 @@
         None,
         &disabled,
         &settings,
-        &mut passed_over,
+        &mut ignored_faults,
     )
     .expect_err("a rejected configuration")
     .to_string()
 }
 
 #[test]
-fn a_rejected_configuration_names_the_key_and_what_is_wrong() {
+fn configuration_error_names_the_key_and_the_problem() {
     let listen = Some(local(7946));
     let two = serde_json::json!(["127.0.0.1:7946", "127.0.0.1:7947"]);
     assert_eq!(
         rejection(None, two.clone(), 0, &[]),
-        "peer_listen: is needed for membership"
+        "peer_listen: an address to receive datagrams at is needed for membership"
     );
     assert_eq!(
         rejection(listen, serde_json::json!([]), 0, &[]),
-        "peers: a list of addresses is needed for membership, one for each node"
+        "peers: a list of 1 to 8192 addresses, one for each node, is needed for membership"
     );
     assert_eq!(
         rejection(
@@ -152,7 +152,7 @@
     );
     assert_eq!(
         rejection(listen, two.clone(), 2, &[]),
-        "settings.Me: this node's place in peers is needed for membership"
+        "settings.Me: the index of this node in peers is needed for membership"
     );
     assert_eq!(
         rejection(
@@ -161,10 +161,10 @@
             0,
             &[]
         ),
-        "peers: an address stands twice"
+        "peers: more than one node has the same address"
     );
     assert_eq!(
         rejection(listen, two, 0, &["versions", "luck"]),
-        "membership_without[1]: \"luck\" is none of helpers, refutation, own_health, vouching, observers, versions"
+        "membership_without[1]: \"luck\" is not one of helpers, refutation, own_health, vouching, observers, versions"
     );
 }
--- a/crates/node/src/peers/view.rs
+++ b/crates/node/src/peers/view.rs
@@ -1,4 +1,5 @@
-//! What operators read of the other nodes. Fields are renamed to the names that operators know.
+//! The membership view that operators read. Serialized names differ from field names where tools of
+//! operators rely on them.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -11,7 +12,7 @@
 
 use super::Peers;
 
-/// One node, as this one sees it.
+/// State of one node, as seen by this one.
 #[derive(Debug, Serialize)]
 pub struct NodeView {
     node: u16,
@@ -20,12 +21,12 @@
     #[serde(rename = "number")]
     incarnation: u32,
     since_ms: f64,
-    /// Time since a datagram of its present incarnation came here.
+    /// Time since this node last received a datagram of its current incarnation, in milliseconds.
     heard_ms: Option<f64>,
     suspected_by: Vec<u16>,
 }
 
-/// All nodes, as this one sees them.
+/// State of all nodes, as seen by this one.
 #[derive(Debug, Serialize)]
 pub struct MembershipView {
     me: u16,
@@ -33,7 +34,7 @@
     incarnation: u32,
     members: usize,
     configured: usize,
-    /// No node answers: the others have failed, or this node is cut off.
+    /// Whether no other node answers: all of them have failed, or this node is isolated.
     hears_nobody: bool,
     #[serde(rename = "ill")]
     local_health_score: u32,
@@ -44,30 +45,30 @@
     nodes: Vec<NodeView>,
     #[serde(rename = "orders")]
     drain_overrides: Vec<DrainOverrideView>,
-    /// Where it is on.
+    /// Load reports and leases; `None` if coordination is off.
     #[serde(rename = "shared")]
     coordination: Option<CoordinationView>,
 }
 
-/// Load reports and leases.
+/// State of load reports and leases.
 #[derive(Debug, Serialize)]
 pub struct CoordinationView {
-    /// The share of each budget that this node may use now.
+    /// Fraction of each budget that this node may use now, from 0 to 1.
     #[serde(rename = "part")]
     budget_share: f64,
-    /// Nodes whose reports count.
+    /// Number of nodes whose load reports are recent enough to be used.
     #[serde(rename = "words")]
     reporting_nodes: usize,
-    /// Time that an attempt at a cache takes, by the reports.
+    /// Mean duration of an attempt at a cache according to the load reports, in milliseconds.
     #[serde(rename = "takes_ms")]
     attempt_ms: Option<f64>,
     counts: TrafficCounters,
 }
 
-/// An operator's order about a server.
+/// A drain override of an operator.
 #[derive(Debug, Serialize)]
 pub struct DrainOverrideView {
-    /// Its id, or a hash of it where this node's list has no such server.
+    /// Id of the server, or a hash of it if this node's endpoint list has no such server.
     server: String,
     drain: bool,
     version: u32,
@@ -76,7 +77,8 @@
 }
 
 impl Peers {
-    /// `server_id`: the id of a server that a drain override names, where this node knows it.
+    /// Returns this node's view of the fleet. `server_id` returns the id of a server that a drain
+    /// override names, if this node knows it.
     pub fn view(&self, server_id: impl Fn(ServerId) -> Option<String>) -> MembershipView {
         let membership = self.membership.borrow();
         let now = self.clock.now();
@@ -147,7 +149,7 @@
     }
 }
 
-/// How many nodes are in each state, as one line.
+/// Returns a one-line summary of a view: the number of nodes in each state.
 pub fn summary(view: &serde_json::Value) -> String {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for node in view["nodes"].as_array().into_iter().flatten() {
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reload at SIGHUP: reads the configuration again, and applies what may change while the node runs.
+//! Reload at SIGHUP: rereads the configuration and applies what may change while the node runs.
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
@@ -12,7 +12,8 @@
 use crate::effects::EffectExecutor;
 use crate::error::ConfigError;
 
-/// Notifies `requested` at each SIGHUP. From this call on, SIGHUP no longer ends the process.
+/// Returns a future that notifies `requested` at each SIGHUP. From this call on, SIGHUP no longer
+/// terminates the process.
 pub fn forward_hangup_signals(requested: Rc<Notify>) -> io::Result<impl Future<Output = ()>> {
     let mut hangup = signal(SignalKind::hangup())?;
     Ok(async move {
@@ -22,7 +23,7 @@
     })
 }
 
-/// Reloads the configuration whenever it is requested, and sends the address of discovery if it has changed.
+/// Reloads the configuration at each request, and sends the address of discovery if it has changed.
 pub async fn run(
     executor: Rc<EffectExecutor>,
     mut config: Config,
@@ -44,16 +45,18 @@
         match result {
             Ok(summary) => {
                 log_summary(&summary, &config);
-                let new = config.discovery;
-                discovery.send_if_modified(|current| std::mem::replace(current, new) != new);
+                let address = config.discovery;
+                discovery
+                    .send_if_modified(|current| std::mem::replace(current, address) != address);
             }
-            // Guards against a fault in a new file that would take the node out of service.
-            Err(fault) => tracing::warn!("configuration: {fault}; the previous one stays in force"),
+            // An error in a new file must not take the node out of service.
+            Err(error) => tracing::warn!("configuration: {error}; the previous one stays in force"),
         }
     }
 }
 
-/// Guards against a file that can't be read for a moment, as it is being replaced or the system lacks something.
+/// Reloads the configuration. Retries while the file can't be read, as it may be in the middle of
+/// being replaced, or the system may be out of descriptors or memory for a moment.
 async fn reload_with_retries(
     executor: &EffectExecutor,
     config: &mut Config,
@@ -76,8 +79,8 @@
         ""
     };
     tracing::info!("configuration reloaded{settings}");
-    for fault in &config.ignored_faults {
-        tracing::warn!("configuration: {fault}");
+    for error in &config.ignored_faults {
+        tracing::warn!("configuration: {error}");
     }
     for key in &summary.needs_restart {
         tracing::info!("configuration: {key}: takes effect at a restart only");
