--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -1,4 +1,5 @@
-//! The admin API for operators: HTTP/1.1 by hyper, one call to a connection. It owns no state; calls go to the reducer.
+//! The admin API for operators: HTTP/1.1 by hyper, one request per connection. It owns no state;
+//! requests are passed to the reducer and to `Peers`.
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -21,7 +22,7 @@
 use crate::peers::Peers;
 use crate::reducer::Reducer;
 
-/// What operators may call.
+/// The operations of the admin API.
 #[derive(Debug, Clone, Copy)]
 enum AdminCall {
     Ready,
@@ -33,21 +34,22 @@
     Restore,
 }
 
-/// What an operators' call acts on.
+/// Handles requests to the admin API.
 struct AdminHandler {
     executor: Rc<EffectExecutor>,
-    /// The other nodes, where membership is on.
+    /// The other nodes; `None` if membership is off.
     peers: Option<Rc<Peers>>,
 }
 
-/// A connection that is being served.
+/// A connection to the admin API that is being served.
 struct OpenConnection {
     id: u64,
     task: AbortHandle,
 }
 
-/// Accepts operators' connections. Guards against callers that hold them with partial calls: the number is limited, and
-/// the oldest, which has had the most time, is closed for the next.
+/// Accepts connections to the admin API. Callers that keep connections open with partial requests
+/// can't block it: the number of connections is limited, and at the limit the oldest one, which has
+/// had the most time, is closed for the next.
 pub async fn accept(executor: Rc<EffectExecutor>, listener: TcpListener, peers: Option<Rc<Peers>>) {
     let handler = Rc::new(AdminHandler { executor, peers });
     let limits = &handler.executor.limits;
@@ -61,15 +63,16 @@
                     if let Some(oldest) = open.borrow_mut().pop_front() {
                         oldest.task.abort();
                     }
-                    // Its descriptor is closed before the next is taken.
+                    // Lets the aborted task close its descriptor before the next accept.
                     tokio::task::yield_now().await;
                 }
-                let (handler, others) = (handler.clone(), open.clone());
+                let (handler, open_connections) = (handler.clone(), open.clone());
                 let task = spawn_local(async move {
-                    let time_limit = duration(handler.executor.limits.admin_request_timeout);
-                    let _ =
-                        tokio::time::timeout(time_limit, serve_connection(handler, stream)).await;
-                    others.borrow_mut().retain(|other| other.id != id);
+                    let timeout = duration(handler.executor.limits.admin_request_timeout);
+                    let _ = tokio::time::timeout(timeout, serve_connection(handler, stream)).await;
+                    open_connections
+                        .borrow_mut()
+                        .retain(|connection| connection.id != id);
                 });
                 open.borrow_mut().push_back(OpenConnection {
                     id,
@@ -78,11 +81,11 @@
             }
             Err(error) => match failures.on_failure(&error) {
                 AcceptRetry::AtOnce => {
-                    tracing::info!("operators: accept: {error}");
+                    tracing::info!("admin API: accept failed for an aborted connection: {error}");
                     tokio::task::yield_now().await;
                 }
                 AcceptRetry::AfterPause => {
-                    tracing::warn!("operators: accept: {error}");
+                    tracing::warn!("admin API: accept failed: {error}");
                     tokio::time::sleep(duration(limits.accept_retry_interval)).await;
                 }
             },
@@ -108,7 +111,7 @@
         .max_headers(limits.http_header_fields);
     let served = server.serve_connection(TokioIo::new(stream), service).await;
     if let Err(error) = served {
-        tracing::warn!("operators: {error}");
+        tracing::warn!("admin API: serving a request failed: {error}");
     }
 }
 
@@ -145,7 +148,7 @@
         if *request.method() != call.method() {
             return method_not_allowed(&call.method());
         }
-        // Guards against acting on a partial call.
+        // Reads the whole body first, so that nothing is done for a partial request.
         let max_bytes = self.executor.limits.admin_body_bytes;
         let body = Limited::new(request.into_body(), max_bytes).collect().await;
         let Ok(body) = body else {
@@ -163,13 +166,13 @@
             AdminCall::Counters => self.counters(),
             AdminCall::Members => self.members(),
             AdminCall::LeaveService => {
-                tracing::info!("operators: out of service");
+                tracing::info!("admin API: node taken out of service");
                 self.executor
                     .report(|reducer, now| reducer.leave_service(now));
                 plain_text(StatusCode::OK, "out of service\n")
             }
             AdminCall::EnterService => {
-                tracing::info!("operators: in service");
+                tracing::info!("admin API: node put back in service");
                 self.executor
                     .report(|reducer, now| reducer.enter_service(now));
                 plain_text(StatusCode::OK, "in service\n")
@@ -199,14 +202,14 @@
         let Some(peers) = &self.peers else {
             return plain_text(StatusCode::NOT_FOUND, "membership is off\n");
         };
-        let server_id = |name| {
+        let server_id = |server| {
             self.executor
-                .query(|reducer| reducer.server_id(name).map(str::to_owned))
+                .query(|reducer| reducer.server_id(server).map(str::to_owned))
         };
         json(serde_json::to_string(&peers.view(server_id)))
     }
 
-    /// Drains a server at every node, or takes that back; the body is its id.
+    /// Drains a server at every node, or revokes that; `body` is the server's id.
     fn set_drain_override(&self, body: &[u8], drain: bool) -> Response<Full<Bytes>> {
         let Some(peers) = &self.peers else {
             return plain_text(
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,4 +1,5 @@
-//! The monotonic clock that all times are measured by, and the wall clock's steps against it.
+//! The monotonic clock that all times are measured by, and the steps of the wall clock relative to
+//! it.
 use std::collections::VecDeque;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
@@ -7,46 +8,48 @@
 #[cfg(test)]
 mod tests;
 
-/// How far the wall clock must have moved against the monotonic one to have been stepped, in milliseconds.
+/// Least change of the wall clock relative to the monotonic clock that counts as a step, in
+/// milliseconds.
 const MIN_STEP_MS: f64 = 20.0;
-/// Number of steps that are remembered.
-const REMEMBERED_STEPS: usize = 8;
-/// A start time so far in the future still counts as now, in milliseconds: clocks of two machines may differ a little.
+/// Most offsets of the wall clock that are kept; each step adds one.
+const MAX_OFFSETS: usize = 8;
+/// Start times up to this far in the future count as now, in milliseconds: the clocks of two
+/// machines may differ a little.
 const MAX_CLOCK_SKEW_MS: f64 = 1000.0;
-/// Milliseconds of a second.
+/// Milliseconds per second.
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// The monotonic clock, counted from the start of the node.
+/// The monotonic clock, which shows the time since the start of the node.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     started_at: Instant,
 }
 
 impl Clock {
-    /// A clock that shows 0 now.
+    /// Starts a clock at 0.
     pub fn start() -> Clock {
         Clock {
             started_at: Instant::now(),
         }
     }
 
-    /// The present time.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         Time(self.started_at.elapsed().as_micros() as i64)
     }
 
-    /// The instant at which a point in time is reached.
+    /// Returns the tokio instant that corresponds to a time of this clock.
     pub fn instant(&self, at: Time) -> tokio::time::Instant {
         (self.started_at + duration(at - Time(0))).into()
     }
 }
 
-/// A span as the standard library has it; zero for one that is negative.
+/// Converts a span to a duration of the standard library; a negative span becomes zero.
 pub fn duration(span: Span) -> std::time::Duration {
     std::time::Duration::from_micros(span.0.max(0) as u64)
 }
 
-/// Unix time by the wall clock, in milliseconds.
+/// Returns the Unix time of the wall clock, in milliseconds.
 pub fn unix_ms() -> f64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -55,15 +58,16 @@
         * MS_PER_SECOND
 }
 
-/// Where the wall clock stood against the monotonic one, before and after each of its last steps.
+/// Offsets of the wall clock from the monotonic clock, before and after each of its most recent
+/// steps.
 #[derive(Debug, Default)]
 pub struct WallClock {
-    /// Unix time less the monotonic time, in milliseconds; the present one is the last.
+    /// Unix time minus monotonic time, in milliseconds; the current offset is the last.
     offsets: VecDeque<f64>,
 }
 
 impl WallClock {
-    /// Samples the wall clock.
+    /// Samples the wall clock, and records a new offset if it was stepped since the last sample.
     pub fn sample(&mut self, now: Time, unix_ms: f64) {
         let offset = unix_ms - now.ms();
         let is_unchanged = self
@@ -73,13 +77,14 @@
         if is_unchanged {
             return;
         }
-        if self.offsets.len() == REMEMBERED_STEPS {
+        if self.offsets.len() == MAX_OFFSETS {
             self.offsets.pop_front();
         }
         self.offsets.push_back(offset);
     }
 
-    /// The latest time that a server's start in Unix time can mean; none for long ago. Guards against a server that counts
+    /// Converts a server's start in Unix time to the latest time that it can mean, given the
+    /// recorded steps; `None` means long ago. With the current offset alone, a server could count
     /// as warm only because the wall clock was stepped.
     pub fn server_start_time(&self, now: Time, unix_ms: Option<f64>) -> Option<Time> {
         let unix_ms = unix_ms.filter(|unix_ms| unix_ms.is_finite() && *unix_ms > 0.0)?;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,9 @@
-//! quartzhub's node: the policy on real sockets. `run` serves until it is asked to stop.
+//! The node of quartzhub: runs the policy on real sockets. `run` serves until the process is asked
+//! to stop.
 //!
-//! Sockets report to the reducer and carry out its effects; the reducer alone changes state and calls the
-//! policy. Another protocol for clients or servers stands beside `clients` or `caches`, before the same reducer.
+//! Tasks that own sockets report events to the reducer and carry out its effects. Only the reducer
+//! changes state and calls the policy. A further protocol for clients or servers would be a module
+//! next to `clients` or `caches`, and use the same reducer.
 #![deny(missing_docs)]
 pub mod accept_failures;
 pub mod admin;
@@ -48,8 +50,8 @@
 use peers::Peers;
 use reducer::Reducer;
 
-/// Runs a node on this thread until SIGTERM and until all API calls that it has taken are answered. SIGHUP reloads the
-/// configuration.
+/// Runs a node on this thread until SIGTERM or SIGINT, and then until all accepted API calls have
+/// their final response. SIGHUP reloads the configuration.
 pub fn run(config: Config) -> io::Result<()> {
     let inherited = config
         .inherited_descriptor
@@ -70,8 +72,9 @@
     result
 }
 
-/// Runs a node within a `LocalSet` of the caller's until `stop` is ready. A notification of `reload_requested` reloads the
-/// configuration. `inherited` is a listening socket that other processes accept from too, instead of one of the node's own.
+/// Runs a node within a `LocalSet` of the caller until `stop` is ready. A notification of
+/// `reload_requested` reloads the configuration. `inherited` is a listening socket that other
+/// processes accept from as well; it replaces the node's own.
 pub async fn serve(
     mut config: Config,
     inherited: Option<std::net::TcpListener>,
@@ -82,11 +85,11 @@
     let clock = Clock::start();
     let listener_is_shared = inherited.is_some();
     let known_version = config.known_endpoints.version;
-    let executor = start_state(&mut config, clock);
+    let executor = start_reducer(&mut config, clock);
     let peers = start_peers(&config, &executor).await?;
     start_admin(&config, &executor, peers.as_ref()).await?;
     let discovery = start_discovery(&config, &executor, known_version);
-    if !wait_for_first_news(&config, &executor, peers.as_deref(), stop.as_mut()).await {
+    if !wait_for_initial_state(&config, &executor, peers.as_deref(), stop.as_mut()).await {
         return Ok(());
     }
     let Some(listener) = listen(&config, inherited, clock, stop.as_mut()).await? else {
@@ -94,33 +97,33 @@
     };
     let listen = listener.local_addr()?;
     let acceptor = Acceptor::start(executor.clone(), listener);
-    announce(&config, &executor, listen);
+    report_listening(&config, &executor, listen);
     spawn_local(reload::run(
         executor.clone(),
         config,
         reload_requested,
         discovery,
     ));
-    let stop_and_leave = async {
+    let stop_then_leave = async {
         stop.await;
         if let Some(peers) = &peers {
             peers.leave();
         }
     };
-    shutdown::run(executor, stop_and_leave, acceptor, listener_is_shared).await;
+    shutdown::run(executor, stop_then_leave, acceptor, listener_is_shared).await;
     Ok(())
 }
 
-/// Starts the reducer, with the endpoint list of the configuration, and its timer.
-fn start_state(config: &mut Config, clock: Clock) -> Rc<EffectExecutor> {
+/// Starts the reducer with the endpoint list of the configuration, and its timer.
+fn start_reducer(config: &mut Config, clock: Clock) -> Rc<EffectExecutor> {
     let executor = EffectExecutor::new(Reducer::new(config), config.limits.clone(), clock);
     executor.sample_wall_clock();
     executor.report(|reducer, now| reducer.start(now));
-    let mut known = std::mem::take(&mut config.known_endpoints);
-    // Nothing is known of servers that it does not name.
-    known.full = true;
+    let mut endpoints = std::mem::take(&mut config.known_endpoints);
+    // The list of the configuration is always complete: no other servers are known yet.
+    endpoints.full = true;
     executor.report(|reducer, now| {
-        reducer.on_endpoint_list(now, &known, |unix_ms| {
+        reducer.on_endpoint_list(now, &endpoints, |unix_ms| {
             executor.server_start_time(now, unix_ms)
         })
     });
@@ -128,7 +131,7 @@
     executor
 }
 
-/// Starts membership, where the configuration has it.
+/// Starts the messages between nodes, if membership is on.
 async fn start_peers(
     config: &Config,
     executor: &Rc<EffectExecutor>,
@@ -141,7 +144,7 @@
     Ok(Some(peers))
 }
 
-/// Starts the admin API, where the configuration has an address for it.
+/// Starts the admin API, if the configuration has an address for it.
 async fn start_admin(
     config: &Config,
     executor: &Rc<EffectExecutor>,
@@ -156,7 +159,7 @@
     Ok(())
 }
 
-/// Starts to follow discovery; the sender has it move to another.
+/// Starts watching discovery. An address sent by the returned sender replaces the current one.
 fn start_discovery(
     config: &Config,
     executor: &Rc<EffectExecutor>,
@@ -172,25 +175,28 @@
     discovery
 }
 
-/// Reports and logs that clients are accepted, and logs the faults of the configuration that were ignored.
-fn announce(config: &Config, executor: &Rc<EffectExecutor>, listen: SocketAddr) {
+/// Reports to the reducer and logs that clients are accepted, and logs the ignored errors of the
+/// configuration.
+fn report_listening(config: &Config, executor: &Rc<EffectExecutor>, listen: SocketAddr) {
     executor.report(|reducer, _| reducer.on_listening());
-    for fault in &config.ignored_faults {
-        tracing::warn!("configuration: {fault}");
+    for error in &config.ignored_faults {
+        tracing::warn!("configuration: {error}");
     }
     tracing::info!(node = config.name, %listen, "{} serves on {listen}", config.name);
 }
 
-/// Waits for the first update of discovery and the first datagram of a peer; false if the node is asked to stop meanwhile.
-async fn wait_for_first_news(
+/// Waits for the first update of discovery and the first datagram of a peer, each for a limited
+/// time. Returns false if the node is asked to stop meanwhile.
+async fn wait_for_initial_state(
     config: &Config,
     executor: &Rc<EffectExecutor>,
     peers: Option<&Peers>,
     mut stop: Pin<&mut impl Future<Output = ()>>,
 ) -> bool {
     let limits = &executor.limits;
-    // Guards against sending to a server that has drained since the known list was written: what discovery has counts as
-    // notified from the start of the process.
+    // Without this, the node would send requests to a server that has drained since the configured
+    // list was written: from the start of the process the node counts as notified of all that
+    // discovery has.
     if config.discovery.is_some() {
         let first_update = executor.wait_for_first_discovery_update();
         let limit = limits.first_endpoint_list_timeout;
@@ -198,8 +204,8 @@
             return false;
         }
     }
-    // Guards against sending to a server that operators drained while this process was down: peers tell it in their first
-    // datagram.
+    // Without this, the node would send requests to a server that operators drained while this
+    // process was down: the first datagram of a peer carries the drain overrides.
     if let Some(peers) = peers {
         let limit = limits.first_peer_timeout;
         if !ready_or_timed_out(peers.wait_for_contact(), limit, stop).await {
@@ -210,7 +216,7 @@
     true
 }
 
-/// Waits for `event`, but not longer than `limit`; false if `stop` is ready first.
+/// Waits for `event` for at most `limit`. Returns false if `stop` is ready first.
 async fn ready_or_timed_out(
     event: impl Future<Output = ()>,
     limit: Span,
@@ -222,7 +228,8 @@
     }
 }
 
-/// The socket that clients are accepted from; none if the node is asked to stop before it listens.
+/// Returns the socket that clients are accepted from, or `None` if the node is asked to stop before
+/// it listens.
 async fn listen(
     config: &Config,
     inherited: Option<std::net::TcpListener>,
@@ -231,8 +238,9 @@
 ) -> io::Result<Option<tokio::net::TcpListener>> {
     match inherited {
         Some(listener) => tokio::net::TcpListener::from_std(listener).map(Some),
-        // The last step of the start, as a client that has connected is owed an answer. A process that is asked to stop
-        // before it ends at once, as it has taken nothing.
+        // Listening is the last step of the start, as every client that connects must get a
+        // response. A process that is asked to stop before this step exits at once, as it has
+        // accepted nothing.
         None => tokio::select! {
             listener = clients::listen(config.listen, clock, &config.limits) => listener.map(Some),
             () = stop => Ok(None),
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -153,7 +153,8 @@
     // Listening.
     /// Delay between two attempts to listen on an address that is in use.
     pub listen_retry_interval: Span,
-    /// How long attempts to listen on an address that is in use are repeated.
+    /// Time after the start of the process until which attempts to listen on an address that is in
+    /// use are repeated.
     pub listen_retry_limit: Span,
     /// Delay after an accept that failed because descriptors or other resources ran out.
     pub accept_retry_interval: Span,
--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -1,5 +1,6 @@
-//! Whether the node serves clients: operators take it out of service and put it back, and SIGTERM stops it. A plain
-//! state machine; the reducer asks it how to treat the clients at hand.
+//! Whether the node serves clients: operators take it out of service and put it back, and SIGTERM
+//! stops it. This is a state machine without side effects, which the reducer queries to decide how
+//! to treat connected clients.
 use quartzhub_policy::{Span, Time};
 
 use crate::limits::Limits;
@@ -17,43 +18,43 @@
     Draining {
         since: Time,
     },
-    /// The process ends; there is no way back.
+    /// The process is shutting down, which can't be reversed.
     Stopping {
         since: Time,
     },
 }
 
-/// Whether the node starts, is ready, drains or stops.
+/// State of the node's service: starting, ready, draining or stopping.
 #[derive(Debug, Default)]
 pub struct ServiceState {
     phase: Phase,
 }
 
-/// How a client is treated that has no command open.
+/// What to do with a client that has no pending command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IdleClientPolicy {
     /// Its connection stays open.
     Keep,
-    /// Its connection is closed once nothing has come from it for this long.
+    /// Its connection is closed once nothing has been received from it for this long.
     CloseAfter(Span),
 }
 
 impl ServiceState {
-    /// The process accepts clients from now on.
+    /// Records that the process accepts clients from now on.
     pub fn on_listening(&mut self) {
         if self.phase == Phase::Starting {
             self.phase = Phase::Ready;
         }
     }
 
-    /// Takes the node out of service. A repeated order does not start the drain anew.
+    /// Takes the node out of service. A repeated call does not restart the drain.
     pub fn start_draining(&mut self, now: Time) {
         if matches!(self.phase, Phase::Starting | Phase::Ready) {
             self.phase = Phase::Draining { since: now };
         }
     }
 
-    /// Puts the node back in service, however far the drain has come.
+    /// Puts a draining node back in service, at any stage of the drain.
     pub fn resume(&mut self) {
         if matches!(self.phase, Phase::Draining { .. }) {
             self.phase = Phase::Ready;
@@ -67,25 +68,28 @@
         }
     }
 
-    /// Whether the node accepts clients and neither drains nor stops.
+    /// Whether the node accepts clients and is neither draining nor stopping.
     pub fn is_ready(&self) -> bool {
         self.phase == Phase::Ready
     }
 
-    /// What the front is told, and so whether it sends clients here. During a shutdown it learns from connections that
-    /// are closed.
+    /// Whether `PING`, the health check of the front load balancer, succeeds, so that it sends new
+    /// clients to this node. It succeeds during a shutdown too: the front load balancer notices
+    /// that by the closed connections.
     pub fn accepts_new_clients(&self) -> bool {
         !matches!(self.phase, Phase::Draining { .. })
     }
 
-    /// Whether clients are read no further. Guards against one that always has a command open, and so is never closed
-    /// between responses.
+    /// Whether no further commands are read from clients. Otherwise a client that always has a
+    /// command pending would never be closed between responses.
     pub fn stops_reading(&self, now: Time, limits: &Limits) -> bool {
         matches!(self.phase, Phase::Draining { since } if now - since >= limits.leave_stop_reading)
     }
 
-    /// Guards against closing clients before the front sends them elsewhere, as they would come back at once; and
-    /// then against those that ask so often that no pause is ever found.
+    /// Returns what to do with idle clients. Until `leave_notice` has passed they are kept, as the
+    /// front load balancer would send them back here at once. From `leave_close_any_pause` on they
+    /// are closed however briefly they are idle, as some send commands so often that they are never
+    /// idle for long.
     pub fn idle_client_policy(&self, now: Time, limits: &Limits) -> IdleClientPolicy {
         let elapsed = match self.phase {
             Phase::Starting | Phase::Ready => return IdleClientPolicy::Keep,
--- a/crates/node/src/service/tests.rs
+++ b/crates/node/src/service/tests.rs
@@ -1,54 +1,55 @@
-//! Draining, resuming and stopping, in every order.
+//! Draining, resuming and stopping in every order.
 use super::*;
 use expect_test::expect;
 
 #[test]
-fn a_node_drains_and_resumes_at_any_moment() {
+fn node_drains_and_resumes_at_any_time() {
     let limits = Limits::default();
     let mut service = ServiceState::default();
     let mut trace = String::new();
-    let mut note = |what: &str, at: i64, service: &ServiceState| {
+    let mut record = |event: &str, at: i64, service: &ServiceState| {
         let now = Time::from_ms(at as f64);
         let ready = service.is_ready();
         let accepts = service.accepts_new_clients();
         let idle = service.idle_client_policy(now, &limits);
-        trace += &format!("{at:4} {what}: ready {ready}, accepts {accepts}, idle {idle:?}\n");
+        trace += &format!("{at:4} {event}: ready {ready}, accepts {accepts}, idle {idle:?}\n");
     };
-    note("new", 0, &service);
+    record("new", 0, &service);
     service.on_listening();
-    note("starts", 0, &service);
+    record("starts listening", 0, &service);
     service.resume();
-    note("called back", 0, &service);
+    record("resumes", 0, &service);
     service.start_draining(Time(0));
-    note("leaves", 0, &service);
+    record("drains", 0, &service);
     service.start_draining(Time::from_ms(300.0));
-    note("told again", 350, &service);
-    note("later", 2000, &service);
+    record("drains again", 350, &service);
+    record("later", 2000, &service);
     service.resume();
-    note("called back", 2000, &service);
+    record("resumes", 2000, &service);
     service.start_draining(Time::from_ms(2000.0));
     service.stop(Time::from_ms(2100.0));
-    note("stops", 2100, &service);
+    record("stops", 2100, &service);
     service.resume();
-    note("called back", 2200, &service);
+    record("resumes", 2200, &service);
     expect![[r#"
            0 new: ready false, accepts true, idle Keep
-           0 starts: ready true, accepts true, idle Keep
-           0 called back: ready true, accepts true, idle Keep
-           0 leaves: ready false, accepts false, idle Keep
-         350 told again: ready false, accepts false, idle CloseAfter(Span(100000))
+           0 starts listening: ready true, accepts true, idle Keep
+           0 resumes: ready true, accepts true, idle Keep
+           0 drains: ready false, accepts false, idle Keep
+         350 drains again: ready false, accepts false, idle CloseAfter(Span(100000))
         2000 later: ready false, accepts false, idle CloseAfter(Span(0))
-        2000 called back: ready true, accepts true, idle Keep
+        2000 resumes: ready true, accepts true, idle Keep
         2100 stops: ready false, accepts true, idle CloseAfter(Span(100000))
-        2200 called back: ready false, accepts true, idle CloseAfter(Span(100000))
+        2200 resumes: ready false, accepts true, idle CloseAfter(Span(100000))
     "#]]
     .assert_eq(&trace);
 }
 
-/// Every order of six events, 400 ms apart, from a process that starts: the last event that applies decides what a
-/// client sees, stopping is final, and an idle client is closed within a bound of the start of the drain.
+/// Checks every sequence of six events, 400 ms apart, against a reference model: the last
+/// applicable event decides what a client observes, stopping is final, and idle clients are closed
+/// within a bounded time after the drain began.
 #[test]
-fn in_every_order_of_events_stopping_is_final_and_a_drain_closes_idle_clients_in_bounded_time() {
+fn stopping_is_final_and_draining_is_bounded_in_any_order() {
     const STEP: i64 = 400;
     let limits = Limits::default();
     let events: [fn(&mut ServiceState, Time); 5] = [
@@ -59,7 +60,7 @@
         |_, _| {},
     ];
     let count = events.len();
-    for order in 0..count.pow(6) {
+    for sequence in 0..count.pow(6) {
         let mut service = ServiceState::default();
         // The reference model.
         let mut started = false;
@@ -67,7 +68,7 @@
         let mut stopping_since = None;
         for step in 0..6 {
             let now = Time::from_ms((step * STEP) as f64);
-            let event = order / count.pow(step as u32) % count;
+            let event = sequence / count.pow(step as u32) % count;
             events[event](&mut service, now);
             match (event, stopping_since) {
                 (0, None) => started = started || draining_since.is_none(),
@@ -76,7 +77,7 @@
                 (3, None) => stopping_since = Some(now),
                 _ => {}
             }
-            let context = format!("order {order}, step {step}: {service:?}");
+            let context = format!("sequence {sequence}, step {step}: {service:?}");
             assert_eq!(
                 service.is_ready(),
                 started && draining_since.is_none() && stopping_since.is_none(),
@@ -87,10 +88,10 @@
                 draining_since.is_none() || stopping_since.is_some(),
                 "{context}"
             );
-            // 0: kept; 1: closed in a pause; 2: closed in the shortest.
+            // 0: kept; 1: closed after some idle time; 2: closed as soon as idle.
             let stage = |at: Time| match service.idle_client_policy(at, &limits) {
                 IdleClientPolicy::Keep => 0,
-                IdleClientPolicy::CloseAfter(pause) => 1 + i32::from(pause == Span::ZERO),
+                IdleClientPolicy::CloseAfter(quiet) => 1 + i32::from(quiet == Span::ZERO),
             };
             match (stopping_since, draining_since) {
                 (None, None) => assert_eq!(stage(now + Span::ms(60_000)), 0, "{context}"),
--- a/crates/node/tests/sockets/admin.rs
+++ b/crates/node/tests/sockets/admin.rs
@@ -62,7 +62,7 @@
     );
     told += &format!("PING: {}\n", node.client().ask(&["PING"]));
     drop(half);
-    node.says("operators: in service");
+    node.says("admin API: node put back in service");
     expect_test::expect![[r#"
         GET /control/ready: 200 OK: ready
         GET /control/counters: 200 OK: {"responses":{"book":{"ok":0,"shed":0,"errors":0},"view":{"ok":1,"shed":0,"errors":0}},"tries":1,"active":0,"pool_size":1,"pool_ejected":0,"config_applied":0,"config_rejected":0}
--- a/crates/node/tests/sockets/socket_activation.rs
+++ b/crates/node/tests/sockets/socket_activation.rs
@@ -61,7 +61,7 @@
     let _ = std::fs::remove_file(&file);
     expect_test::expect![[r#"
         9: false,  9 is not open
-        4: false,  4: no socket
+        4: false,  4 is not a socket
         x: false, 
         2: false, 
     "#]]
