--- a/crates/node/src/clock/tests.rs
+++ b/crates/node/src/clock/tests.rs
@@ -8,36 +8,36 @@
     Time(ms * 1000)
 }
 
-/// Returns a clock that shows `UNIX_MS` at 0, and is stepped by `by` milliseconds at 10 s.
-fn stepped(by: f64) -> WallClock {
+/// Returns a clock that shows `UNIX_MS` at 0, and is stepped by `step_ms` at 10 s.
+fn clock_stepped_by(step_ms: f64) -> WallClock {
     let mut clock = WallClock::default();
     clock.sample(at(0), UNIX_MS);
     clock.sample(at(9_000), UNIX_MS + 9_000.0);
-    clock.sample(at(10_000), UNIX_MS + 10_000.0 + by);
+    clock.sample(at(10_000), UNIX_MS + 10_000.0 + step_ms);
     clock
 }
 
 #[test]
 fn start_near_a_step_of_the_wall_clock_is_converted_correctly() {
-    for by in [HOUR_MS, -HOUR_MS, 30_000.0, -30_000.0] {
-        let clock = stepped(by);
+    for step_ms in [HOUR_MS, -HOUR_MS, 30_000.0, -30_000.0] {
+        let clock = clock_stepped_by(step_ms);
         // Started 1 s before and 1 s after the step, converted 2 s after it.
         assert_eq!(
             clock.server_start_time(at(12_000), Some(UNIX_MS + 9_000.0)),
             Some(at(9_000)),
-            "{by}"
+            "{step_ms}"
         );
         assert_eq!(
-            clock.server_start_time(at(12_000), Some(UNIX_MS + 11_000.0 + by)),
+            clock.server_start_time(at(12_000), Some(UNIX_MS + 11_000.0 + step_ms)),
             Some(at(11_000)),
-            "{by}"
+            "{step_ms}"
         );
     }
 }
 
 #[test]
 fn start_long_ago_stays_so_and_start_in_the_future_is_now() {
-    let clock = stepped(HOUR_MS);
+    let clock = clock_stepped_by(HOUR_MS);
     assert_eq!(clock.server_start_time(at(12_000), Some(0.0)), None);
     assert_eq!(clock.server_start_time(at(12_000), None), None);
     assert_eq!(clock.server_start_time(at(12_000), Some(f64::NAN)), None);
--- a/crates/node/src/config/reload/tests.rs
+++ b/crates/node/src/config/reload/tests.rs
@@ -7,27 +7,30 @@
 fn reload_moves_discovery_and_rejects_an_invalid_file() {
     let file = std::env::temp_dir().join(format!("quartzhub-reload-{}.json", std::process::id()));
     let product = r#"{"Name":"view","LatencySlo":100,"ClientTimeout":500}"#;
-    let write_file = |discovery: &str, more: &str| {
-        let head = format!(r#"{{"listen":"127.0.0.1:6379",{discovery}{more}"#);
+    let write_file = |discovery: &str, extra_keys: &str| {
+        let head = format!(r#"{{"listen":"127.0.0.1:6379",{discovery}{extra_keys}"#);
         std::fs::write(
             &file,
             format!(r#"{head}"settings":{{"Products":[{product}]}}}}"#),
         )
-        .expect("written");
+        .expect("the file is written");
     };
     write_file(r#""discovery":"127.0.0.1:1","#, "");
     let environment = Environment {
         discovery: Some("127.0.0.1:9".into()),
         ..Environment::default()
     };
-    let mut config = Config::read(&file, environment).expect("a configuration");
+    let mut config = Config::read(&file, environment).expect("the configuration is valid");
     let mut outcomes = String::new();
-    let mut reload = |discovery: &str, more: &str| {
-        write_file(discovery, more);
-        let keys = config
+    let mut reload = |discovery: &str, extra_keys: &str| {
+        write_file(discovery, extra_keys);
+        let result = config
             .reload()
             .map_err(|e| e.to_string().replace(&*file.to_string_lossy(), "file"));
-        outcomes += &format!("{:?}: {keys:?}\n", config.discovery.map(|addr| addr.port()));
+        outcomes += &format!(
+            "{:?}: {result:?}\n",
+            config.discovery.map(|addr| addr.port())
+        );
     };
     reload(r#""discovery":"127.0.0.1:1","#, "");
     reload(
@@ -59,22 +62,23 @@
 #[test]
 fn reloaded_settings_are_applied_or_rejected_as_a_whole() {
     let file = std::env::temp_dir().join(format!("quartzhub-settings-{}.json", std::process::id()));
-    let product = |name: &str, timeout: &str, more: &str| {
-        format!(r#"{{"Name":"{name}","LatencySlo":100,"ClientTimeout":{timeout}{more}}}"#)
+    let product = |name: &str, timeout: &str, extra_keys: &str| {
+        format!(r#"{{"Name":"{name}","LatencySlo":100,"ClientTimeout":{timeout}{extra_keys}}}"#)
     };
     let write_file = |zone: &str, caps: &str, products: &[String]| {
         let products = products.join(",");
         let settings = format!(r#"{{"Zone":"{zone}","Caps":{{{caps}}},"Products":[{products}]}}"#);
         let text = format!(r#"{{"listen":"127.0.0.1:6379","settings":{settings}}}"#);
-        std::fs::write(&file, text).expect("written");
+        std::fs::write(&file, text).expect("the file is written");
     };
     let view = product("view", "500", r#","Effect":"idempotent""#);
-    let (caps, fewer) = (
+    let (caps, fewer_attempts) = (
         r#""MostShots":3,"Probing":true"#,
         r#""MostShots":2,"Probing":true"#,
     );
     write_file("a", caps, std::slice::from_ref(&view));
-    let mut config = Config::read(&file, Environment::default()).expect("a configuration");
+    let mut config =
+        Config::read(&file, Environment::default()).expect("the configuration is valid");
     let mut outcomes = String::new();
     let mut reload = |zone: &str, caps: &str, products: &[String]| {
         write_file(zone, caps, products);
@@ -88,21 +92,29 @@
     };
     let put = product("put", "400", r#","Effect":"deduplicated""#);
     reload("a", caps, std::slice::from_ref(&view));
-    reload("a", fewer, &[view.clone(), put.clone()]);
+    reload("a", fewer_attempts, &[view.clone(), put.clone()]);
     reload("b", caps, std::slice::from_ref(&put));
     reload("a", r#""MostShots":2"#, &[view.clone(), put.clone()]);
-    reload("a", fewer, &[view.clone(), product("put", "400", "")]);
     reload(
         "a",
-        fewer,
+        fewer_attempts,
+        &[view.clone(), product("put", "400", "")],
+    );
+    reload(
+        "a",
+        fewer_attempts,
         &[
             view.clone(),
             product("put", "-5", r#","Effect":"deduplicated""#),
         ],
     );
-    reload("a", fewer, &[view.clone(), put.clone(), put.clone()]);
-    reload("a", fewer, &[]);
-    std::fs::write(&file, "").expect("written");
+    reload(
+        "a",
+        fewer_attempts,
+        &[view.clone(), put.clone(), put.clone()],
+    );
+    reload("a", fewer_attempts, &[]);
+    std::fs::write(&file, "").expect("the file is written");
     assert!(config
         .reload()
         .is_err_and(|e| e.to_string().contains("EOF")));
@@ -120,8 +132,8 @@
     .assert_eq(&outcomes);
 }
 
-/// Without the exception for emptied lists, a reload that moves from a deployment with tenants to one
-/// without would be rejected as a truncated file.
+/// Without the exception for emptied lists, a reload that moves from a deployment with tenants to
+/// one without would be rejected as a truncated file.
 #[test]
 fn reload_may_add_tenants_and_empty_their_list() {
     let file = std::env::temp_dir().join(format!("quartzhub-tenants-{}.json", std::process::id()));
@@ -129,10 +141,11 @@
         let product = r#"{"Name":"view","LatencySlo":100,"ClientTimeout":500}"#;
         let settings = format!(r#"{{"Products":[{product}],{tenants}}}"#);
         let text = format!(r#"{{"listen":"127.0.0.1:6379","settings":{settings}}}"#);
-        std::fs::write(&file, text).expect("written");
+        std::fs::write(&file, text).expect("the file is written");
     };
     write_file(r#""Projects":[]"#);
-    let mut config = Config::read(&file, Environment::default()).expect("a configuration");
+    let mut config =
+        Config::read(&file, Environment::default()).expect("the configuration is valid");
     let mut outcomes = String::new();
     for tenants in [
         r#""Projects":[{"Name":"a","QuotaPerS":9},{"Name":"b","QuotaPerS":3}]"#,
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -155,7 +155,7 @@
     pub listen_retry_interval: Span,
     /// Time after the start of the process until which attempts to listen on an address that is in
     /// use are repeated.
-    pub listen_retry_limit: Span,
+    pub listen_retry_timeout: Span,
     /// Delay after an accept that failed because descriptors or other resources ran out.
     pub accept_retry_interval: Span,
 
@@ -181,7 +181,7 @@
     // Shutdown; durations are measured from SIGTERM.
     /// Shortest time for which new connections are still accepted.
     pub shutdown_accept: Span,
-    /// How long no new connection may have been accepted before the process exits early.
+    /// Time without a new connection after which the process may exit early.
     pub shutdown_quiet: Span,
     /// Until when clients are served as before.
     pub shutdown_serve: Span,
@@ -200,7 +200,7 @@
 
     // Reload.
     /// Retries of reading a configuration file that can't be read at SIGHUP.
-    pub reload_attempts: usize,
+    pub reload_retries: usize,
     /// Delay between two of these retries.
     pub reload_retry_interval: Span,
     /// Time from new settings until all clients use them.
--- a/crates/node/src/limits/fixed.rs
+++ b/crates/node/src/limits/fixed.rs
@@ -74,7 +74,7 @@
     stall_read_window: Span::ms(5),
 
     listen_retry_interval: Span::ms(20),
-    listen_retry_limit: Span::ms(10_000),
+    listen_retry_timeout: Span::ms(10_000),
     accept_retry_interval: Span::ms(20),
 
     watch_silence_timeout: Span::ms(3_000),
@@ -98,7 +98,7 @@
     shutdown_poll_interval: Span::ms(5),
 
     // About half a second in total, by which the system's count of open files may lag.
-    reload_attempts: 8,
+    reload_retries: 8,
     reload_retry_interval: Span::ms(50),
     settings_propagation: Span::ms(2_000),
 
--- a/crates/node/src/peers/config.rs
+++ b/crates/node/src/peers/config.rs
@@ -9,7 +9,7 @@
 
 use crate::error::ConfigError;
 
-/// Most nodes of a fleet: the entries of datagrams are too small for more.
+/// Most nodes of a fleet, as the entries of datagrams have a bounded size.
 const MAX_PEERS: usize = 8_192;
 
 /// Name of the fleet if the configuration gives none.
--- a/crates/node/src/peers/logging.rs
+++ b/crates/node/src/peers/logging.rs
@@ -52,7 +52,7 @@
         } else {
             tracing::warn!(
                 isolated = false,
-                "membership: another node answers; this node is no longer isolated"
+                "membership: another node responds; this node is no longer isolated"
             );
         }
     }
--- a/crates/node/src/peers/tests.rs
+++ b/crates/node/src/peers/tests.rs
@@ -9,7 +9,7 @@
 use crate::clock::Clock;
 use crate::limits::Limits;
 
-fn local(port: u16) -> SocketAddr {
+fn local_address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
@@ -35,8 +35,8 @@
 #[tokio::test]
 async fn membership_view_keeps_its_field_names() {
     let config = PeerConfig {
-        listen: local(0),
-        peers: vec![local(7946)],
+        listen: local_address(0),
+        peers: vec![local_address(7946)],
         me: 0,
         fleet: "quartzhub".to_owned(),
         coordination: true,
@@ -45,12 +45,12 @@
     let clock = Clock::start();
     let peers = Peers::open(config, 1, clock, &Limits::default())
         .await
-        .expect("a socket");
+        .expect("the socket is bound");
     peers
         .membership
         .borrow_mut()
         .set_drain_override(clock.now(), ServerId(1), true, &mut Vec::new())
-        .expect("an override of a fleet of one node");
+        .expect("a fleet of one node accepts the override");
     let view = serde_json::to_value(peers.view(|_| None)).expect("JSON");
     let mut paths = Vec::new();
     key_paths(&view, "", &mut paths);
@@ -106,7 +106,7 @@
     assert_eq!(view["orders"][0]["server"], "#0000000000000001");
 }
 
-fn rejection(
+fn configuration_error(
     listen: Option<SocketAddr>,
     peers: serde_json::Value,
     me: i64,
@@ -125,24 +125,24 @@
         &settings,
         &mut ignored_faults,
     )
-    .expect_err("a rejected configuration")
+    .expect_err("the configuration is invalid")
     .to_string()
 }
 
 #[test]
 fn configuration_error_names_the_key_and_the_problem() {
-    let listen = Some(local(7946));
+    let listen = Some(local_address(7946));
     let two = serde_json::json!(["127.0.0.1:7946", "127.0.0.1:7947"]);
     assert_eq!(
-        rejection(None, two.clone(), 0, &[]),
+        configuration_error(None, two.clone(), 0, &[]),
         "peer_listen: an address to receive datagrams at is needed for membership"
     );
     assert_eq!(
-        rejection(listen, serde_json::json!([]), 0, &[]),
+        configuration_error(listen, serde_json::json!([]), 0, &[]),
         "peers: a list of 1 to 8192 addresses, one for each node, is needed for membership"
     );
     assert_eq!(
-        rejection(
+        configuration_error(
             listen,
             serde_json::json!(["127.0.0.1:7946", "there"]),
             0,
@@ -151,11 +151,11 @@
         "peers[1]: \"there\" is not an address such as 127.0.0.1:7946"
     );
     assert_eq!(
-        rejection(listen, two.clone(), 2, &[]),
+        configuration_error(listen, two.clone(), 2, &[]),
         "settings.Me: the index of this node in peers is needed for membership"
     );
     assert_eq!(
-        rejection(
+        configuration_error(
             listen,
             serde_json::json!(["127.0.0.1:7946", "127.0.0.1:7946"]),
             0,
@@ -164,7 +164,7 @@
         "peers: more than one node has the same address"
     );
     assert_eq!(
-        rejection(listen, two, 0, &["versions", "luck"]),
+        configuration_error(listen, two, 0, &["versions", "luck"]),
         "membership_without[1]: \"luck\" is not one of helpers, refutation, own_health, vouching, observers, versions"
     );
 }
--- a/crates/node/src/peers/view.rs
+++ b/crates/node/src/peers/view.rs
@@ -34,7 +34,7 @@
     incarnation: u32,
     members: usize,
     configured: usize,
-    /// Whether no other node answers: all of them have failed, or this node is isolated.
+    /// Whether no other node responds: all of them have failed, or this node is isolated.
     hears_nobody: bool,
     #[serde(rename = "ill")]
     local_health_score: u32,
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -62,7 +62,7 @@
     config: &mut Config,
 ) -> Result<ReloadSummary, ConfigError> {
     let mut result = config.reload();
-    for _ in 0..executor.limits.reload_attempts {
+    for _ in 0..executor.limits.reload_retries {
         if !result.as_ref().is_err_and(ConfigError::is_unreadable_file) {
             break;
         }
--- a/crates/node/src/system.rs
+++ b/crates/node/src/system.rs
@@ -117,7 +117,7 @@
         .is_some_and(|code| aborted.contains(&code))
 }
 
-/// Binds a socket to an address, and retries after transient failures until `listen_retry_limit`
+/// Binds a socket to an address, and retries after transient failures until `listen_retry_timeout`
 /// after the start of the process. Otherwise a node would not restart if the previous process is
 /// still exiting, or if descriptors or buffers run out for a moment.
 pub async fn bind_with_retry<T, F: Future<Output = io::Result<T>>>(
@@ -129,7 +129,7 @@
     let mut failure_logged = false;
     loop {
         let may_retry = |error: &io::Error| {
-            is_transient(error) && clock.now() - Time(0) < limits.listen_retry_limit
+            is_transient(error) && clock.now() - Time(0) < limits.listen_retry_timeout
         };
         let error = match bind().await {
             Err(error) if may_retry(&error) => error,
