--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -86,10 +86,10 @@
         matches!(self.phase, Phase::Draining { since } if now - since >= limits.leave_stop_reading)
     }
 
-    /// Returns what to do with idle clients. Until `leave_notice` has passed they are kept, as the
-    /// front load balancer would send them back here at once. From `leave_close_any_pause` on they
-    /// are closed however briefly they are idle, as some send commands so often that they are never
-    /// idle for long.
+    /// Returns what to do with idle clients. A draining node keeps them until `leave_notice` has
+    /// passed, as the front load balancer would send them back here at once. From
+    /// `leave_close_any_pause` on they are closed however briefly they are idle, as some send
+    /// commands so often that they are never idle for long.
     pub fn idle_client_policy(&self, now: Time, limits: &Limits) -> IdleClientPolicy {
         let elapsed = match self.phase {
             Phase::Starting | Phase::Ready => return IdleClientPolicy::Keep,
