--- a/crates/lab/src/emulator/attempts.rs
+++ b/crates/lab/src/emulator/attempts.rs
@@ -1,7 +1,7 @@
-//! The nodes' side of an attempt: connected, replied to, timed out.
+//! The nodes' side of an attempt: connection established, end, timeout.
 use quartzhub_policy::{AttemptResult, EndpointState, Outcome};
 
-use super::event::{AttemptTimer, Connecting, Event, FinishedWork, Reply, ValueStore};
+use super::event::{AttemptEnd, AttemptTimer, Event, FinishedWork, PendingConnection, ValueStore};
 use super::state::{CacheMiss, IdleConnection, NodeCall};
 use super::Emulator;
 use crate::metric::Metric;
@@ -10,9 +10,9 @@
 use crate::server::Health;
 use crate::stats::CallOutcome;
 
-/// The metric of finished work; `wanted` where its API call still waited for it.
-fn work_metric(origin: bool, write: bool, miss: bool, wanted: bool) -> Metric {
-    match (origin, write, miss, wanted) {
+/// The metric for finished work; `call_open`: its API call was still open.
+fn work_metric(origin: bool, write: bool, miss: bool, call_open: bool) -> Metric {
+    match (origin, write, miss, call_open) {
         (false, _, true, _) => Metric::Miss,
         (false, _, false, true) => Metric::Hit,
         (false, _, false, false) => Metric::HitUnwanted,
@@ -23,16 +23,16 @@
 }
 
 impl<R: Router, F: Fn(usize, u64) -> R> Emulator<R, F> {
-    pub(super) fn on_connected(&mut self, connecting: Connecting, incarnation: u64) {
-        let Connecting {
+    pub(super) fn on_connected(&mut self, pending: PendingConnection, incarnation: u64) {
+        let PendingConnection {
             node,
             node_incarnation,
             server,
             job,
-        } = connecting;
+        } = pending;
         if self.is_current(node, node_incarnation) {
             self.with_router(node, |_, effects, _| {
-                effects.write_attempt(server, incarnation, job, true)
+                effects.send_request(server, incarnation, job, true)
             });
         } else if self.sim.servers[server].incarnation == incarnation {
             self.sim.servers[server].release_connections(1);
@@ -48,7 +48,7 @@
             return;
         }
         if server_state.health == Health::Hung {
-            // The work is done and nobody is notified.
+            // The work is done, but a hung server sends no response.
             return;
         }
         let cold = server_state.is_warming_up(self.sim.now);
@@ -70,17 +70,19 @@
         } else {
             Outcome::Success
         };
-        let reply = Reply::to_job(&job, server, outcome);
-        self.sim.schedule_after(delay, Event::ReplyArrived(reply));
+        let attempt_end = AttemptEnd::of_job(&job, server, outcome);
+        self.sim
+            .schedule_after(delay, Event::AttemptEnded(attempt_end));
         self.sim.begin_work(server);
     }
 
-    /// Counts finished work, and notes for its API call where it missed, or stores what it fetched.
+    /// Counts finished work. A miss is recorded at its API call; a fetched value is sent to the
+    /// caches that missed.
     fn record_work(&mut self, finished: &FinishedWork, origin: bool, cold: bool) {
         let job = &finished.job;
         let call = self.nodes[job.node].node_state.open_call(job.call);
-        let wanted = call.as_ref().is_some_and(|call| !call.answered);
-        let metric = work_metric(origin, job.write, finished.miss, wanted);
+        let call_open = call.as_ref().is_some_and(|call| !call.closed);
+        let metric = work_metric(origin, job.write, finished.miss, call_open);
         self.sim.report.count(self.sim.now, metric);
         if finished.miss {
             let cache_miss = CacheMiss {
@@ -97,7 +99,7 @@
         }
     }
 
-    /// The value is stored where the API call missed.
+    /// Sends the fetched value to the caches at which the API call missed.
     fn store_fetched_value(&mut self, key: u64, misses: &[CacheMiss]) {
         for miss in misses {
             let delay = self.sim.network_delay();
@@ -110,16 +112,17 @@
         }
     }
 
-    /// An attempt has ended for its node: its connection may carry another.
-    pub(super) fn on_reply(&mut self, reply: Reply) {
-        let Reply {
+    /// Ends an attempt at its node: passes its result to the router and keeps its connection if it
+    /// can be reused.
+    pub(super) fn apply_attempt_end(&mut self, attempt_end: AttemptEnd) {
+        let AttemptEnd {
             node,
             call,
             attempt,
             server,
             outcome,
             ..
-        } = reply;
+        } = attempt_end;
         let now = self.sim.now;
         let node_state = &mut self.nodes[node].node_state;
         if !node_state.up {
@@ -134,10 +137,10 @@
         self.sim.report.mark(now, call ^ (outcome as u64) << 8);
         self.return_connection(node, server, ended.incarnation, outcome);
         let open = self.nodes[node].node_state.calls.get(index);
-        let in_time = open.is_some_and(|open| !open.answered && now < open.deadline);
+        let in_time = open.is_some_and(|open| !open.closed && now < open.deadline);
         if outcome == Outcome::Success && in_time {
             self.with_router(node, |_, effects, _| {
-                effects.answer(index, CallOutcome::Fulfilled, CallEvent::Fulfilled, None)
+                effects.respond(index, CallOutcome::Fulfilled, CallEvent::Fulfilled, None)
             });
         }
         let open = self.nodes[node].node_state.calls.get(index);
@@ -145,14 +148,15 @@
             attempt,
             outcome,
             latency: now - ended.sent_at,
-            call_finished: open.is_none_or(|open| open.answered),
+            call_finished: open.is_none_or(|open| open.closed),
         };
         self.with_router(node, |router, effects, now| {
             router.outcome(now, index, result, effects)
         });
     }
 
-    /// Keeps the connection of an attempt that was answered for the next one, or closes it.
+    /// Keeps the connection for a later attempt if this one got a response; closes it instead if the
+    /// node knows that the server is draining or gone.
     fn return_connection(
         &mut self,
         node: usize,
@@ -202,7 +206,7 @@
         } else {
             Outcome::Unreachable
         };
-        self.on_reply(Reply {
+        self.apply_attempt_end(AttemptEnd {
             node,
             node_incarnation: Some(node_incarnation),
             call,
--- a/crates/lab/src/emulator/clients.rs
+++ b/crates/lab/src/emulator/clients.rs
@@ -4,23 +4,24 @@
 
 use super::event::{ClientAttempt, Event, Response};
 use super::state::{ClientCall, NodeCall, Simulation};
-use super::{Emulator, ANSWER_SLACK};
+use super::{Emulator, RESPONSE_SLACK};
 use crate::metric::Metric;
 use crate::routers::Router;
 use crate::stats::{CallOutcome, EndedCall};
 
-/// How much sooner than a client gives up its node answers: what the answer needs on its way.
-const ANSWER_MARGIN: Span = Span::ms(3);
+/// How long before the client timeout a node has to respond: time for the response to reach the
+/// client.
+const RESPONSE_MARGIN: Span = Span::ms(3);
 
 impl Simulation {
-    /// The API call of a client, if this is still its present attempt.
-    fn present_attempt(&mut self, attempt: ClientAttempt) -> Option<&mut ClientCall> {
+    /// The client's API call, if `attempt` is still its current attempt.
+    fn current_attempt(&mut self, attempt: ClientAttempt) -> Option<&mut ClientCall> {
         self.clients
             .get_mut(&attempt.client)
             .filter(|client| client.attempt_number == attempt.number)
     }
 
-    /// A product by its share of the traffic.
+    /// Draws a product by its share of the traffic.
     fn draw_product(&mut self) -> usize {
         let draw = self.rng.unit();
         self.cumulative_shares
@@ -37,34 +38,36 @@
         client.attempt_number += 1;
         client.node = node;
         client.call = None;
-        client.answered = false;
+        client.attempt_ended = false;
         Some(ClientAttempt {
             client: client_id,
             number: client.attempt_number,
         })
     }
 
-    /// A node that is down refuses a client's connection at once: nothing was taken.
+    /// A node that is down refuses the client's connection: the API call was not accepted, so it is
+    /// safe to retry.
     fn refuse_connection(&mut self, attempt: ClientAttempt) {
         let delay = self.network_delay();
         let response = Response {
             attempt,
-            end: CallOutcome::RateLimited,
+            outcome: CallOutcome::RateLimited,
             retry_after: None,
         };
         self.schedule_after(delay, Event::ResponseDelivered(response));
     }
 
-    /// A client's API call ends: one with a value, in time or late, the others without.
+    /// Records the end of a client's API call. It earns its full value within the latency
+    /// objective, a reduced value if fulfilled later, and none otherwise.
     fn end_client_call(&mut self, client_id: u64, end: CallOutcome) {
         let Some(client) = self.clients.remove(&client_id) else {
             return;
         };
         let product = self.products[client.product];
-        let took = self.now - client.started_at;
+        let elapsed = self.now - client.started_at;
         let fulfilled = end == CallOutcome::Fulfilled;
-        let in_slo = fulfilled && took <= product.latency_objective;
-        let part = match (fulfilled, in_slo) {
+        let in_slo = fulfilled && elapsed <= product.latency_objective;
+        let earned_ratio = match (fulfilled, in_slo) {
             (false, _) => 0.0,
             (true, true) => 1.0,
             (true, false) => product.late_priority_weight,
@@ -72,38 +75,39 @@
         self.report.end(EndedCall {
             product: client.product,
             started_at: client.started_at,
-            latency: took,
+            latency: elapsed,
             end,
             in_slo,
             priority_weight: product.priority_weight,
-            value_ratio: part,
+            value_ratio: earned_ratio,
         });
     }
 
-    /// Retries where clients do, or ends without a value.
-    fn retry_or_end(&mut self, client_id: u64, end: CallOutcome, retry_after: Option<Span>) {
+    /// Schedules a retry if the client may make one, else ends its API call without a value.
+    fn retry_or_end(&mut self, client_id: u64, outcome: CallOutcome, retry_after: Option<Span>) {
         let Some(client) = self.clients.get_mut(&client_id) else {
             return;
         };
         let idempotency = self.products[client.product].idempotency;
-        let harmless = idempotency != Idempotency::NonIdempotent || end == CallOutcome::RateLimited;
+        let safe_to_retry =
+            idempotency != Idempotency::NonIdempotent || outcome == CallOutcome::RateLimited;
         let attempts_left = client.attempt_number as usize <= self.scenario.clients.retries;
-        if !harmless || !attempts_left || self.now >= self.end {
-            return self.end_client_call(client_id, end);
+        if !safe_to_retry || !attempts_left || self.now >= self.end {
+            return self.end_client_call(client_id, outcome);
         }
-        client.answered = true;
+        client.attempt_ended = true;
         let mean_ms = retry_after.map_or(self.scenario.clients.retry_wait_ms, Span::as_ms);
-        let wait = Span::from_ms(mean_ms * (0.5 + self.rng.unit()));
-        self.schedule_after(wait, Event::ClientRetry { client: client_id });
+        let delay = Span::from_ms(mean_ms * (0.5 + self.rng.unit()));
+        self.schedule_after(delay, Event::ClientRetry { client: client_id });
     }
 }
 
 impl<R: Router, F: Fn(usize, u64) -> R> Emulator<R, F> {
     pub(super) fn on_client_arrival(&mut self) {
         let sim = &mut self.sim;
-        let gap: f64 = Exp1.sample(&mut sim.rng);
+        let exponential: f64 = Exp1.sample(&mut sim.rng);
         let rate = sim.scenario.traffic.rate * sim.traffic_factor;
-        let next = sim.now + Span::from_ms(gap / rate * 1000.0);
+        let next = sim.now + Span::from_ms(exponential / rate * 1000.0);
         if next < sim.end {
             sim.schedule_at(next, Event::ClientArrival);
         }
@@ -120,19 +124,19 @@
             attempt_sent_at: sim.now,
             node: 0,
             call: None,
-            answered: false,
+            attempt_ended: false,
         };
         sim.clients.insert(id, client);
         sim.report.started += 1;
         self.send_client_attempt(id);
     }
 
-    /// A client makes its next attempt, at a node by chance.
+    /// Sends a client's next attempt to a randomly chosen node.
     pub(super) fn send_client_attempt(&mut self, client_id: u64) {
         let nodes = self.nodes.len();
         let sim = &mut self.sim;
         let node = ((sim.rng.unit() * nodes as f64) as usize).min(nodes - 1);
-        let client_timeout_factor = sim.uniform(sim.scenario.clients.client_timeout_factor);
+        let client_timeout_factor = sim.draw_uniform(sim.scenario.clients.client_timeout_factor);
         let Some(attempt) = sim.start_client_attempt(client_id, node) else {
             return;
         };
@@ -154,7 +158,7 @@
     }
 
     pub(super) fn on_request_arrived(&mut self, attempt: ClientAttempt) {
-        let Some(client) = self.sim.present_attempt(attempt) else {
+        let Some(client) = self.sim.current_attempt(attempt) else {
             return;
         };
         let (node, product, key) = (client.node, client.product, client.key);
@@ -163,12 +167,12 @@
         }
         let write = self.sim.scenario.products[product].write;
         let client_timeout = self.sim.products[product].client_timeout;
-        let time_left = Span((client_timeout.0 - ANSWER_MARGIN.0).max(0));
+        let time_left = Span((client_timeout.0 - RESPONSE_MARGIN.0).max(0));
         let call = self.sim.allocate_id();
-        if let Some(client) = self.sim.present_attempt(attempt) {
+        if let Some(client) = self.sim.current_attempt(attempt) {
             client.call = Some(call);
         }
-        let index = self.take_call(
+        let index = self.accept_call(
             node,
             NodeCall {
                 call,
@@ -177,7 +181,7 @@
                 product,
                 write,
                 deadline: self.sim.now + time_left,
-                answered: false,
+                closed: false,
                 attempts: Vec::new(),
                 misses: Vec::new(),
             },
@@ -196,47 +200,49 @@
         });
     }
 
-    /// A node takes an API call: from now on it owes an answer.
-    fn take_call(&mut self, node: usize, open: NodeCall) -> CallIndex {
+    /// Opens an API call at its node, which from now on must send a final response.
+    fn accept_call(&mut self, node: usize, open: NodeCall) -> CallIndex {
         let call = open.call;
-        let client_deadline = open.deadline + ANSWER_MARGIN;
+        let client_deadline = open.deadline + RESPONSE_MARGIN;
         let product = self.sim.products[open.product];
         self.sim
             .checker
-            .record_taken(self.sim.now, call, node, product, client_deadline);
-        self.sim
-            .schedule_at(client_deadline + ANSWER_SLACK, Event::CallDeadline { call });
+            .record_accepted(self.sim.now, call, node, product, client_deadline);
+        self.sim.schedule_at(
+            client_deadline + RESPONSE_SLACK,
+            Event::CallDeadline { call },
+        );
         let node_state = &mut self.nodes[node].node_state;
         let index = node_state.calls.insert(open);
         node_state.call_indices.insert(call, index);
         index
     }
 
-    /// An attempt has had its time: the client closes, and may retry.
+    /// Handles a client timeout: the client closes its connection, and may retry.
     pub(super) fn on_client_timeout(&mut self, attempt: ClientAttempt) {
         let now = self.sim.now;
-        let Some(client) = self.sim.present_attempt(attempt) else {
+        let Some(client) = self.sim.current_attempt(attempt) else {
             return;
         };
-        if client.answered {
+        if client.attempt_ended {
             return;
         }
         let (node, call) = (client.node, client.call);
-        let waited = now - client.attempt_sent_at;
+        let elapsed = now - client.attempt_sent_at;
         let product = client.product;
         if let Some(call) = call {
-            // One that stayed to its client timeout was owed an answer.
-            if waited < self.sim.products[product].client_timeout {
-                self.sim.checker.record_client_left(now, call);
+            // At its full client timeout, the client must have had a response.
+            if elapsed < self.sim.products[product].client_timeout {
+                self.sim.checker.record_client_disconnect(now, call);
             }
-            self.withdraw_call(node, call);
+            self.report_client_disconnect(node, call);
         }
         self.sim
             .retry_or_end(attempt.client, CallOutcome::GaveUp, None);
     }
 
-    /// The client of an API call has gone: its node is notified.
-    fn withdraw_call(&mut self, node: usize, call: u64) {
+    /// Notifies the node that the client of an API call has disconnected.
+    fn report_client_disconnect(&mut self, node: usize, call: u64) {
         let node_state = &mut self.nodes[node].node_state;
         let Some(&index) = node_state.call_indices.get(&call) else {
             return;
@@ -247,7 +253,7 @@
         let Some(open) = node_state.calls.get_mut(index) else {
             return;
         };
-        if !std::mem::replace(&mut open.answered, true) {
+        if !std::mem::replace(&mut open.closed, true) {
             self.with_router(node, |router, effects, now| {
                 router.withdrawn(now, index, effects)
             });
@@ -257,17 +263,17 @@
     pub(super) fn on_response_delivered(&mut self, response: Response) {
         let Response {
             attempt,
-            end,
+            outcome,
             retry_after,
         } = response;
-        let Some(client) = self.sim.present_attempt(attempt) else {
+        let Some(client) = self.sim.current_attempt(attempt) else {
             return;
         };
-        if std::mem::replace(&mut client.answered, true) {
+        if std::mem::replace(&mut client.attempt_ended, true) {
             return;
         }
-        if end == CallOutcome::Fulfilled {
-            return self.sim.end_client_call(attempt.client, end);
+        if outcome == CallOutcome::Fulfilled {
+            return self.sim.end_client_call(attempt.client, outcome);
         }
         let metric = if attempt.number == 1 {
             Metric::FirstAttemptFailed
@@ -275,6 +281,6 @@
             Metric::RetryFailed
         };
         self.sim.report.count(self.sim.now, metric);
-        self.sim.retry_or_end(attempt.client, end, retry_after);
+        self.sim.retry_or_end(attempt.client, outcome, retry_after);
     }
 }
--- a/crates/lab/src/emulator/dispatch.rs
+++ b/crates/lab/src/emulator/dispatch.rs
@@ -1,7 +1,7 @@
-//! Hands each event to the part of the emulator that it concerns.
+//! Dispatches each event to its handler.
 use quartzhub_policy::EndpointState;
 
-use super::event::{EndpointUpdate, Event, Reply};
+use super::event::{AttemptEnd, EndpointUpdate, Event};
 use super::{Emulator, CALL_RETENTION};
 use crate::routers::Router;
 
@@ -15,16 +15,16 @@
             Event::ResponseDelivered(response) => self.on_response_delivered(response),
             Event::AttemptArrived(delivery) => self.sim.on_attempt_arrived(delivery),
             Event::WorkFinished(finished) => self.on_work_finished(finished),
-            Event::ReplyArrived(reply) => self.on_reply_arrived(reply),
+            Event::AttemptEnded(attempt_end) => self.on_attempt_ended(attempt_end),
             Event::AttemptTimeout(timer) => self.on_attempt_timeout(timer),
             Event::AttemptCancelled(cancellation) => self.sim.on_attempt_cancelled(cancellation),
             Event::ValueStored(value) => self.sim.on_value_stored(value),
             Event::CallDeadline { call } => {
                 self.sim.checker.check_deadline(self.sim.now, call);
                 self.sim
-                    .schedule_after(CALL_RETENTION, Event::CallForgotten { call });
+                    .schedule_after(CALL_RETENTION, Event::CallDiscarded { call });
             }
-            Event::CallForgotten { call } => self.sim.checker.forget(call),
+            Event::CallDiscarded { call } => self.sim.checker.discard(call),
             Event::PolicyTimer {
                 node,
                 node_incarnation,
@@ -39,27 +39,27 @@
             } => self.on_server_removed(server, incarnation),
             Event::NodeStopped { node } => self.stop_node(node),
             Event::NodeRestarted { node } => self.on_node_restarted(node),
-            Event::Connect(connecting) => self.sim.on_connect(connecting),
+            Event::Connect(pending) => self.sim.on_connect(pending),
             Event::Connected {
-                connecting,
+                pending,
                 incarnation,
-            } => self.on_connected(connecting, incarnation),
+            } => self.on_connected(pending, incarnation),
         }
     }
 
-    /// Whether the node is up and still the process that an event was meant for.
+    /// Whether the node is up and still in the incarnation that the event was scheduled for.
     pub(super) fn is_current(&self, node: usize, node_incarnation: u64) -> bool {
         let node_state = &self.nodes[node].node_state;
         node_state.up && node_state.node_incarnation == node_incarnation
     }
 
-    fn on_reply_arrived(&mut self, reply: Reply) {
-        let present = self.nodes[reply.node].node_state.node_incarnation;
-        if reply
+    fn on_attempt_ended(&mut self, attempt_end: AttemptEnd) {
+        let present = self.nodes[attempt_end.node].node_state.node_incarnation;
+        if attempt_end
             .node_incarnation
             .is_none_or(|incarnation| incarnation == present)
         {
-            self.on_reply(reply);
+            self.apply_attempt_end(attempt_end);
         }
     }
 
--- a/crates/lab/src/emulator/effects.rs
+++ b/crates/lab/src/emulator/effects.rs
@@ -1,22 +1,24 @@
-//! Effects of a node's router: the messages, timers and answers that it asks for become events.
+//! Actions of a node's router: turns the requests, timers and responses that it asks for into
+//! events.
 use quartzhub_policy::{CallIndex, EndpointState, Outcome, PolicyActions, ServerIndex, Span, Time};
 
-use super::event::{AttemptDelivery, AttemptTimer, Connecting, Event, Reply, Response};
+use super::event::{AttemptDelivery, AttemptEnd, AttemptTimer, Event, PendingConnection, Response};
 use super::state::{Attempt, IdleConnection, NodeState, Simulation};
 use super::{KEEPALIVE, MIN_TIMER};
 use crate::rules::CallEvent;
 use crate::server::Job;
 use crate::stats::CallOutcome;
 
-/// Carries out what the router of one node asks for.
+/// Carries out the actions of one node's router.
 pub(super) struct Effects<'a> {
     pub(super) sim: &'a mut Simulation,
     pub(super) node_state: &'a mut NodeState,
 }
 
 impl Effects<'_> {
-    /// Writes an attempt, if it is still wanted: as the real node, which looks when its bytes are due.
-    pub(super) fn write_attempt(
+    /// Sends an attempt's request if its API call still needs it. Like the real node, this is
+    /// checked when the request is about to be written.
+    pub(super) fn send_request(
         &mut self,
         server: usize,
         incarnation: u64,
@@ -29,11 +31,11 @@
         let attempt = self
             .node_state
             .open_call(job.call)
-            .filter(|open| !open.answered && now < open.deadline)
+            .filter(|open| !open.closed && now < open.deadline)
             .and_then(|open| open.attempts.get_mut(job.attempt))
             .filter(|attempt| attempt.in_flight && usable);
         let Some(attempt) = attempt else {
-            return self.skip_attempt(server, incarnation, &job);
+            return self.skip_request(server, incarnation, &job);
         };
         attempt.written = true;
         attempt.incarnation = incarnation;
@@ -55,8 +57,9 @@
         sim.schedule_after(delay, Event::AttemptArrived(delivery));
     }
 
-    /// Nobody wants the attempt any more: its connection stays for the next one.
-    fn skip_attempt(&mut self, server: usize, incarnation: u64, job: &Job) {
+    /// Ends an attempt that is no longer needed before its request is written; its connection is
+    /// kept for a later attempt.
+    fn skip_request(&mut self, server: usize, incarnation: u64, job: &Job) {
         if self.sim.servers[server].incarnation == incarnation {
             self.node_state.idle_connections[server].push_back(IdleConnection {
                 incarnation,
@@ -66,9 +69,9 @@
         self.end_attempt(job.call, job.attempt, server, Outcome::NotSent);
     }
 
-    /// The node itself ends an attempt: its router is notified at the next event.
+    /// Ends an attempt on the node's side; its router is notified by the next event.
     fn end_attempt(&mut self, call: u64, attempt: usize, server: usize, outcome: Outcome) {
-        let reply = Reply {
+        let attempt_end = AttemptEnd {
             node: self.node_state.node,
             node_incarnation: Some(self.node_state.node_incarnation),
             call,
@@ -77,13 +80,13 @@
             outcome,
         };
         self.sim
-            .schedule_after(Span::ZERO, Event::ReplyArrived(reply));
+            .schedule_after(Span::ZERO, Event::AttemptEnded(attempt_end));
     }
 
-    pub(super) fn answer(
+    pub(super) fn respond(
         &mut self,
         index: CallIndex,
-        end: CallOutcome,
+        outcome: CallOutcome,
         event: CallEvent,
         retry_after: Option<Span>,
     ) {
@@ -92,14 +95,16 @@
         };
         self.sim
             .checker
-            .record_answer(self.sim.now, open.call, event);
-        self.sim.report.mark(self.sim.now, open.call ^ end as u64);
-        if std::mem::replace(&mut open.answered, true) {
+            .record_response(self.sim.now, open.call, event);
+        self.sim
+            .report
+            .mark(self.sim.now, open.call ^ outcome as u64);
+        if std::mem::replace(&mut open.closed, true) {
             return;
         }
         let response = Response {
             attempt: open.client_attempt,
-            end,
+            outcome,
             retry_after,
         };
         let delay = self.sim.network_delay();
@@ -107,8 +112,8 @@
             .schedule_after(delay, Event::ResponseDelivered(response));
     }
 
-    /// Closes idle connections that are too old or lead to an earlier incarnation, and takes the youngest of the
-    /// others; false if there is none.
+    /// Closes idle connections that have expired or lead to an earlier incarnation, and takes the
+    /// newest of the rest; false if there is none.
     fn take_idle_connection(&mut self, server: usize) -> bool {
         let now = self.sim.now;
         let server_state = &mut self.sim.servers[server];
@@ -127,7 +132,8 @@
         idle.pop_back().is_some()
     }
 
-    /// Records an attempt of an API call and gives its work; none if the call has been released.
+    /// Records a new attempt of an API call and returns its job; none if the call has been
+    /// released.
     fn new_attempt(&mut self, index: CallIndex, server: usize) -> Option<Job> {
         let sim = &mut *self.sim;
         let open = self.node_state.calls.get_mut(index)?;
@@ -175,30 +181,30 @@
             call: job.call,
             attempt: job.attempt,
         };
-        // A connection that stands is used again; a new one takes a round trip more.
+        // An idle connection is reused; a new one takes another round trip.
         let reused = self.take_idle_connection(server);
         self.sim.schedule_at(deadline, Event::AttemptTimeout(timer));
         if reused {
             let incarnation = self.sim.servers[server].incarnation;
-            self.write_attempt(server, incarnation, job, false);
+            self.send_request(server, incarnation, job, false);
             return;
         }
         self.sim.report.handshakes += 1;
         let delay = self.sim.network_delay();
-        let connecting = Connecting {
+        let pending = PendingConnection {
             node,
             node_incarnation,
             server,
             job,
         };
-        self.sim.schedule_after(delay, Event::Connect(connecting));
+        self.sim.schedule_after(delay, Event::Connect(pending));
     }
 
     fn cancel(&mut self, call: CallIndex, attempt: usize) {
         let Some(open) = self.node_state.calls.get_mut(call) else {
             return;
         };
-        let number = open.call;
+        let call_id = open.call;
         let Some(record) = open
             .attempts
             .get(attempt)
@@ -213,11 +219,11 @@
         } else {
             Outcome::NotSent
         };
-        self.end_attempt(number, attempt, record.server, outcome);
+        self.end_attempt(call_id, attempt, record.server, outcome);
     }
 
     fn rate_limit(&mut self, call: CallIndex, retry_in: Option<Span>) {
-        self.answer(
+        self.respond(
             call,
             CallOutcome::RateLimited,
             CallEvent::RateLimited,
@@ -226,7 +232,7 @@
     }
 
     fn fail(&mut self, call: CallIndex) {
-        self.answer(call, CallOutcome::Errored, CallEvent::Errored, None);
+        self.respond(call, CallOutcome::Errored, CallEvent::Errored, None);
     }
 
     fn release_call(&mut self, call: CallIndex) {
--- a/crates/lab/src/emulator/event.rs
+++ b/crates/lab/src/emulator/event.rs
@@ -1,4 +1,4 @@
-//! The events of a simulation, with what each of them carries.
+//! Events of the simulation, with the data that each of them carries.
 use quartzhub_policy::{EndpointState, Outcome, Span, Time};
 
 use crate::server::Job;
@@ -8,15 +8,15 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ClientAttempt {
     pub(super) client: u64,
-    /// Counts from 1; an event of an earlier attempt is stale.
+    /// Counts from 1. Events of earlier attempts of the client are stale.
     pub(super) number: u32,
 }
 
-/// A final answer to a client's attempt.
+/// A final response to a client's attempt.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Response {
     pub(super) attempt: ClientAttempt,
-    pub(super) end: CallOutcome,
+    pub(super) outcome: CallOutcome,
     pub(super) retry_after: Option<Span>,
 }
 
@@ -25,9 +25,9 @@
 pub(super) struct AttemptDelivery {
     pub(super) job: Job,
     pub(super) server: usize,
-    /// The incarnation of the server that the connection belongs to.
+    /// The incarnation of the server that the connection leads to.
     pub(super) incarnation: u64,
-    /// The connection was made for this attempt: the server still has its handshake to do.
+    /// The connection was opened for this attempt, so the server has to do the handshake first.
     pub(super) new_connection: bool,
 }
 
@@ -40,11 +40,11 @@
     pub(super) miss: bool,
 }
 
-/// How an attempt ended, on its way to the node.
+/// The end of an attempt, on its way to the node.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Reply {
+pub(super) struct AttemptEnd {
     pub(super) node: usize,
-    /// Where set, a node that has restarted since drops the reply.
+    /// If set, a node of another incarnation discards the event.
     pub(super) node_incarnation: Option<u64>,
     pub(super) call: u64,
     pub(super) attempt: usize,
@@ -52,10 +52,10 @@
     pub(super) outcome: Outcome,
 }
 
-impl Reply {
-    /// A server's reply to a job, whichever incarnation of the node it finds.
-    pub(super) fn to_job(job: &Job, server: usize, outcome: Outcome) -> Reply {
-        Reply {
+impl AttemptEnd {
+    /// The end of a job's attempt, valid for every incarnation of its node.
+    pub(super) fn of_job(job: &Job, server: usize, outcome: Outcome) -> AttemptEnd {
+        AttemptEnd {
             node: job.node,
             node_incarnation: None,
             call: job.call,
@@ -66,7 +66,7 @@
     }
 }
 
-/// A node's attempt, as its timer names it.
+/// The timeout of a node's attempt.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AttemptTimer {
     pub(super) node: usize,
@@ -75,7 +75,7 @@
     pub(super) attempt: usize,
 }
 
-/// The node closes the connection of an attempt that it no longer wants.
+/// The close of a connection whose attempt the node has cancelled.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Cancellation {
     pub(super) server: usize,
@@ -101,14 +101,14 @@
 
 /// A connection that a node opens for an attempt.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Connecting {
+pub(super) struct PendingConnection {
     pub(super) node: usize,
     pub(super) node_incarnation: u64,
     pub(super) server: usize,
     pub(super) job: Job,
 }
 
-/// What happens at an instant of simulated time.
+/// An event at an instant of simulated time.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Event {
     /// A client makes a new API call.
@@ -119,46 +119,46 @@
     ClientTimeout(ClientAttempt),
     /// A client makes its next attempt.
     ClientRetry { client: u64 },
-    /// A final answer reaches its client.
+    /// A final response reaches its client.
     ResponseDelivered(Response),
     /// A node's attempt reaches a server.
     AttemptArrived(AttemptDelivery),
-    /// A server has done a job.
+    /// A server has finished a job.
     WorkFinished(FinishedWork),
     /// The end of an attempt reaches its node.
-    ReplyArrived(Reply),
-    /// An attempt has had its time.
+    AttemptEnded(AttemptEnd),
+    /// The deadline of a node's attempt has passed.
     AttemptTimeout(AttemptTimer),
-    /// A closed connection reaches its server.
+    /// The close of a connection reaches its server.
     AttemptCancelled(Cancellation),
     /// A fetched value reaches a cache.
     ValueStored(ValueStore),
-    /// An API call must have had its answer by now.
+    /// The time by which an API call must have its final response.
     CallDeadline { call: u64 },
-    /// Nothing more can happen to an API call.
-    CallForgotten { call: u64 },
-    /// A node's router asked to be woken.
+    /// The rule checks discard an API call: no more events can occur for it.
+    CallDiscarded { call: u64 },
+    /// The timer that a node's router set has fired.
     PolicyTimer { node: usize, node_incarnation: u64 },
-    /// A node hears of a change of the endpoint list.
+    /// A change of the endpoint list reaches a node.
     EndpointChange { node: usize, update: EndpointUpdate },
-    /// A fault of the scenario begins, by its index.
+    /// The scenario's fault with this index starts.
     FaultBegins(usize),
-    /// A fault of the scenario ends, by its index.
+    /// The scenario's fault with this index ends.
     FaultEnds(usize),
-    /// A server is back, cold.
+    /// A server has restarted, cold.
     ServerRestarted { server: usize },
-    /// A drained server ends.
+    /// A drained server stops and is removed from the endpoint list.
     ServerRemoved { server: usize, incarnation: u64 },
-    /// A node ends.
+    /// A node stops.
     NodeStopped { node: usize },
-    /// A node is back, with nothing but the endpoint list.
+    /// A node has restarted, with nothing but the endpoint list.
     NodeRestarted { node: usize },
-    /// A server is asked for a new connection.
-    Connect(Connecting),
-    /// A new connection is up at its node.
+    /// A request for a new connection reaches a server.
+    Connect(PendingConnection),
+    /// A node learns that its new connection is established.
     Connected {
-        connecting: Connecting,
-        /// The server's, when it accepted the connection.
+        pending: PendingConnection,
+        /// The server's incarnation when it accepted the connection.
         incarnation: u64,
     },
 }
--- a/crates/lab/src/emulator/faults.rs
+++ b/crates/lab/src/emulator/faults.rs
@@ -1,4 +1,4 @@
-//! Failure injection: the scenario's faults begin and end.
+//! Failure injection: starts and ends the scenario's faults.
 use quartzhub_policy::{EndpointState, Outcome, Span};
 
 use super::event::Event;
@@ -7,16 +7,16 @@
 use crate::scenario::{Fault, FaultKind};
 use crate::server::Health;
 
-/// How long a cache that restarts on the spot is away.
+/// How long a cache is down during a cold restart.
 const COLD_RESTART_OUTAGE: Span = Span::ms(500);
-/// How long a drained cache is away after it has ended.
+/// How long a drained cache is down after it has stopped.
 const DRAINED_OUTAGE: Span = Span::ms(5_000);
 
-/// The fault's share of `count` servers or nodes: every so many, from a place that the fault's index gives, so that
-/// its beginning and its end concern the same ones.
+/// Indices of the servers or nodes that a fault affects, evenly spaced among `count`. The first one
+/// follows from the fault's index, so that the start and the end of the fault select the same ones.
 fn affected(index: usize, fault: &Fault, count: usize) -> impl Iterator<Item = usize> {
-    let share = (count as f64 * fault.share).round() as usize;
-    let affected = share.clamp(1, count);
+    let rounded = (count as f64 * fault.share).round() as usize;
+    let affected = rounded.clamp(1, count);
     let first = index * 7 % count;
     (0..affected).map(move |position| (first + position * count / affected) % count)
 }
@@ -56,8 +56,8 @@
                     .schedule_after(duration, Event::ServerRestarted { server });
             }
             FaultKind::Burst => self.sim.traffic_factor = fault.factor,
-            FaultKind::HotKey => self.sim.hot_key_share = fault.share,
-            FaultKind::Scan => self.sim.scan_share = fault.share,
+            FaultKind::HotKey => self.sim.hot_key_fraction = fault.share,
+            FaultKind::Scan => self.sim.scan_fraction = fault.share,
             FaultKind::Network => self.sim.network_delay_factor = fault.factor,
             FaultKind::NodeRoll => self.restart_nodes(&nodes.collect::<Vec<_>>(), duration),
         }
@@ -76,10 +76,10 @@
                 self.sim.servers[origin].slowdown = 1.0;
             }
             FaultKind::Burst => self.sim.traffic_factor = 1.0,
-            FaultKind::HotKey => self.sim.hot_key_share = 0.0,
-            FaultKind::Scan => self.sim.scan_share = 0.0,
+            FaultKind::HotKey => self.sim.hot_key_fraction = 0.0,
+            FaultKind::Scan => self.sim.scan_fraction = 0.0,
             FaultKind::Network => self.sim.network_delay_factor = 1.0,
-            // Their ends were scheduled at their beginning.
+            // The ends of these were scheduled at their start.
             FaultKind::Crash
             | FaultKind::ColdRestart
             | FaultKind::Drain
@@ -115,7 +115,7 @@
         if self.sim.servers[server].health != Health::Hung {
             return;
         }
-        // What it had is forgotten: its clients have left long ago.
+        // Its pending jobs are discarded: their attempts timed out long ago.
         self.sim.reset_jobs(server, Outcome::Reset);
         self.sim.servers[server].health = Health::Up;
     }
@@ -131,9 +131,9 @@
     /// Restarts the nodes one after the other, spread evenly over the duration.
     fn restart_nodes(&mut self, nodes: &[usize], duration: Span) {
         for (position, &node) in nodes.iter().enumerate() {
-            let wait = duration.0 as f64 * position as f64 / nodes.len() as f64;
+            let delay_us = duration.0 as f64 * position as f64 / nodes.len() as f64;
             self.sim
-                .schedule_after(Span(wait as i64), Event::NodeStopped { node });
+                .schedule_after(Span(delay_us as i64), Event::NodeStopped { node });
         }
     }
 }
--- a/crates/lab/src/emulator/mod.rs
+++ b/crates/lab/src/emulator/mod.rs
@@ -1,4 +1,4 @@
-//! The emulator: clients, nodes, servers and the network between them, by discrete events in the order of time.
+//! Discrete-event emulator of clients, nodes, servers and the network between them.
 mod attempts;
 mod clients;
 mod dispatch;
@@ -20,7 +20,7 @@
 use event::Event;
 use state::{Node, Simulation};
 
-/// Names of the policies that a scenario can have: the project's own, and the baselines.
+/// Names of the policies that a scenario can select: the project's own (`dema`) and the baselines.
 pub const POLICIES: [&str; 5] = [
     "dema",
     "random",
@@ -29,18 +29,20 @@
     "bounded_hash",
 ];
 
-/// Shortest timer of a router. Guards against a router that asks to be woken at once, over and over.
+/// Shortest timer of a router. Without it, a router that keeps asking for a timer of zero length
+/// would stop simulated time from advancing.
 const MIN_TIMER: Span = Span::ms(1);
-/// How long past its client timeout the checks remember an API call: longer than any work still queued for it.
+/// How long after its client timeout the rule checks keep an API call: longer than any work still
+/// queued for it.
 const CALL_RETENTION: Span = Span::ms(30_000);
-/// How late a final answer may come: one round of a timer.
-const ANSWER_SLACK: Span = Span::ms(10);
+/// How long after the client timeout a missing final response is reported: one round of a timer.
+const RESPONSE_SLACK: Span = Span::ms(10);
 /// How long a node keeps an idle connection to a server.
 const KEEPALIVE: Span = Span::ms(15_000);
-/// How long after its end a run goes on for what is still open.
+/// Longest time for which a run continues after its end while API calls are still open.
 const MAX_OVERTIME: Span = Span::ms(120_000);
 
-/// Plays a scenario under the policy that it names.
+/// Emulates a scenario under the policy that it names.
 pub fn run(scenario: &Scenario) -> Result<Report, LabError> {
     scenario.check()?;
     match scenario.policy.as_str() {
@@ -64,18 +66,19 @@
     Emulator::new(scenario, make_router).play()
 }
 
-/// A run of one scenario, every node with a router made by `make_router` of the node's index and a seed.
+/// A run of one scenario. `make_router` makes the router of each node from the node's index and a
+/// seed.
 pub struct Emulator<R, F> {
     sim: Simulation,
     nodes: Vec<Node<R>>,
     make_router: F,
     name_table: NameTable,
-    /// By server, as the endpoint list has them.
+    /// Ids of the servers in the endpoint list, by the server's index.
     server_names: Vec<String>,
 }
 
 impl<R: Router, F: Fn(usize, u64) -> R> Emulator<R, F> {
-    /// Sets up a scenario's servers and nodes.
+    /// Sets up the scenario's servers and nodes.
     pub fn new(scenario: &Scenario, make_router: F) -> Emulator<R, F> {
         let settings = scenario.settings(0);
         let products = quartzhub_settings::products(&settings);
@@ -94,10 +97,10 @@
         emulator
     }
 
-    /// Plays the scenario to its end.
+    /// Runs the scenario to its end and returns the report.
     pub fn play(mut self) -> Report {
         if self.sim.scenario.caches.prefilled {
-            self.sim.fill_caches();
+            self.sim.prefill_caches();
         }
         for node in 0..self.nodes.len() {
             self.with_router(node, |router, effects, now| router.start(now, effects));
@@ -109,7 +112,7 @@
         }
         self.sim.schedule_after(Span::ZERO, Event::ClientArrival);
         while let Some((at, event)) = self.sim.events.pop() {
-            if self.is_over(at) {
+            if self.is_finished(at) {
                 break;
             }
             self.sim.now = at;
@@ -118,8 +121,9 @@
         self.sim.into_report()
     }
 
-    /// After the end no new API calls come, and what is open has its time.
-    fn is_over(&self, at: Time) -> bool {
+    /// Whether the run is finished: its time has passed and no API call is open, or `MAX_OVERTIME`
+    /// has passed as well. After the end, clients make no new API calls.
+    fn is_finished(&self, at: Time) -> bool {
         let nothing_open = self.sim.clients.is_empty() && self.sim.checker.tracked_calls() == 0;
         at > self.sim.end + MAX_OVERTIME || at > self.sim.end && nothing_open
     }
--- a/crates/lab/src/emulator/nodes.rs
+++ b/crates/lab/src/emulator/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes: made, notified of servers, stopped and restarted.
+//! Life cycle of nodes: creation, endpoint updates, stop and restart.
 use std::collections::VecDeque;
 
 use quartzhub_policy::{EndpointState, Span, Time};
@@ -12,9 +12,9 @@
 use crate::routers::Router;
 use crate::stats::CallOutcome;
 
-/// How long a node that is restarted is away.
+/// How long a node is down during a restart.
 const NODE_OUTAGE: Span = Span::ms(500);
-/// Spreads the nodes' seeds: 2^64 divided by the golden ratio.
+/// Multiplier that gives each node a different seed: 2^64 divided by the golden ratio.
 const SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
 impl<R: Router, F: Fn(usize, u64) -> R> Emulator<R, F> {
@@ -56,7 +56,7 @@
         act(router, &mut Effects { sim, node_state }, now)
     }
 
-    /// Notifies a node of servers; `complete`: of all that there are.
+    /// Sends a node an update of the endpoint list. `complete`: the update names all servers.
     pub(super) fn send_endpoints(
         &mut self,
         node: usize,
@@ -70,8 +70,8 @@
             let server = update.server;
             let name = &self.server_names[server];
             let index = node_state.servers.intern(name);
-            let known = node_state.servers_by_index.len().max(index.0 + 1);
-            node_state.servers_by_index.resize(known, 0);
+            let table_len = node_state.servers_by_index.len().max(index.0 + 1);
+            node_state.servers_by_index.resize(table_len, 0);
             node_state.servers_by_index[index.0] = server;
             node_state.known_endpoints[server].update(update.state, now);
             let is_origin = server == self.sim.origin();
@@ -104,7 +104,7 @@
         self.send_endpoints(node, true, &updates);
     }
 
-    /// A node ends, with all that it has, and comes back with nothing but the endpoint list.
+    /// Stops a node with all its state. It restarts with nothing but the endpoint list.
     pub(super) fn stop_node(&mut self, node: usize) {
         let node_state = &mut self.nodes[node].node_state;
         if !node_state.up {
@@ -114,7 +114,7 @@
         node_state.node_incarnation += 1;
         let calls: Vec<u64> = node_state.call_indices.keys().copied().collect();
         for call in calls {
-            self.abandon_call(node, call);
+            self.abort_call(node, call);
         }
         for (index, server) in self.sim.servers.iter_mut().enumerate() {
             let idle = self.nodes[node]
@@ -126,20 +126,21 @@
             .schedule_after(NODE_OUTAGE, Event::NodeRestarted { node });
     }
 
-    /// The node's connections for an API call break: those to servers, and the client's.
-    fn abandon_call(&mut self, node: usize, call: u64) {
-        self.sim.checker.excuse(call);
+    /// Aborts the node's connections that belong to an API call: those to servers, and the
+    /// client's.
+    fn abort_call(&mut self, node: usize, call: u64) {
+        self.sim.checker.exempt(call);
         let Some(open) = self.nodes[node].node_state.open_call(call) else {
             return;
         };
         for attempt in open.attempts.iter().filter(|attempt| attempt.in_flight) {
             self.sim.send_cancellation(attempt);
         }
-        if !open.answered {
+        if !open.closed {
             let delay = self.sim.network_delay();
             let response = Response {
                 attempt: open.client_attempt,
-                end: CallOutcome::Errored,
+                outcome: CallOutcome::Errored,
                 retry_after: None,
             };
             self.sim
--- a/crates/lab/src/emulator/servers.rs
+++ b/crates/lab/src/emulator/servers.rs
@@ -1,32 +1,32 @@
-//! The servers' side of an attempt: connections, queues, work, caches, and servers that stop and start.
+//! The servers' side of an attempt: connections, queues, work and caches; server stop and restart.
 use quartzhub_policy::{Outcome, Span};
 
 use super::event::{
-    AttemptDelivery, Cancellation, Connecting, Event, FinishedWork, Reply, ValueStore,
+    AttemptDelivery, AttemptEnd, Cancellation, Event, FinishedWork, PendingConnection, ValueStore,
 };
 use super::state::Simulation;
 use crate::metric::Metric;
 use crate::server::{Health, Job, Overload, Work, OVERLOAD_OUTAGE};
 
 impl Simulation {
-    /// A node asks for a new connection.
-    pub(super) fn on_connect(&mut self, connecting: Connecting) {
+    /// Handles a node's request for a new connection.
+    pub(super) fn on_connect(&mut self, pending: PendingConnection) {
         let delay = self.network_delay();
         let max_connections = self.scenario.caches.connections;
-        let server = &mut self.servers[connecting.server];
+        let server = &mut self.servers[pending.server];
         let is_full = !server.origin && server.connections >= max_connections;
         if server.health == Health::Down || is_full {
             self.report.refused_connections += 1;
-            let reply = Reply {
-                node_incarnation: Some(connecting.node_incarnation),
-                ..Reply::to_job(&connecting.job, connecting.server, Outcome::Unreachable)
+            let attempt_end = AttemptEnd {
+                node_incarnation: Some(pending.node_incarnation),
+                ..AttemptEnd::of_job(&pending.job, pending.server, Outcome::Unreachable)
             };
-            return self.schedule_after(delay, Event::ReplyArrived(reply));
+            return self.schedule_after(delay, Event::AttemptEnded(attempt_end));
         }
         server.connections += 1;
         let incarnation = server.incarnation;
         let connected = Event::Connected {
-            connecting,
+            pending,
             incarnation,
         };
         self.schedule_after(delay, connected);
@@ -37,21 +37,23 @@
             mut job, server, ..
         } = delivery;
         let delay = self.network_delay();
-        let reply = |outcome| Event::ReplyArrived(Reply::to_job(&delivery.job, server, outcome));
+        let attempt_end =
+            |outcome| Event::AttemptEnded(AttemptEnd::of_job(&delivery.job, server, outcome));
         let server_state = &mut self.servers[server];
         if server_state.health == Health::Down || server_state.incarnation != delivery.incarnation {
-            // The connection was to an earlier incarnation; what it had been sent may have run there.
-            return self.schedule_after(delay, reply(Outcome::Reset));
+            // The connection led to an earlier incarnation, which may have executed what was sent
+            // on it.
+            return self.schedule_after(delay, attempt_end(Outcome::Reset));
         }
         if server_state.health == Health::Hung {
             return server_state.queue.push_back(job);
         }
         if !self.admit_attempt(&job, server) {
-            return self.schedule_after(delay, reply(Outcome::Reset));
+            return self.schedule_after(delay, attempt_end(Outcome::Reset));
         }
         if self.servers[server].is_full() {
             self.report.count(self.now, Metric::Overloaded);
-            return self.schedule_after(delay, reply(Outcome::Overloaded));
+            return self.schedule_after(delay, attempt_end(Outcome::Overloaded));
         }
         if delivery.new_connection {
             job.work = job.work + Span::from_ms(self.scenario.caches.handshake_ms);
@@ -60,7 +62,8 @@
         self.begin_work(server);
     }
 
-    /// Work comes in at a server. Rule 4: a cold one that is sent too much falls over, and so does the origin.
+    /// Accounts for the work of a new attempt; false if it overloads the server, which then stops.
+    /// Rule 4: a cold cache stops when it is sent too much work, and so does the origin.
     fn admit_attempt(&mut self, job: &Job, server: usize) -> bool {
         let now = self.now;
         let work = Work {
@@ -83,7 +86,7 @@
         false
     }
 
-    /// Gives queued jobs to the server's free cores.
+    /// Starts queued jobs on the server's free cores.
     pub(super) fn begin_work(&mut self, server: usize) {
         while let Some(job) = self.servers[server].next_job() {
             self.begin_job(server, job);
@@ -120,7 +123,7 @@
         let (queued, running) = (server.queue.len(), server.running.len());
         server.queue.retain(|job| job.id != cancellation.job_id);
         server.running.retain(|job| job.id != cancellation.job_id);
-        // The connection goes with it.
+        // Cancelling an attempt closes its connection.
         server.release_connections(1);
         if server.queue.len() < queued {
             self.report.count(self.now, Metric::CancelledInQueue);
@@ -137,12 +140,12 @@
         }
     }
 
-    /// The server loses all its jobs; their nodes see connections that end.
+    /// Discards all jobs of a server; their nodes see their connections end with `outcome`.
     pub(super) fn reset_jobs(&mut self, server: usize, outcome: Outcome) {
         for job in self.servers[server].stop() {
             let delay = self.network_delay();
-            let reply = Reply::to_job(&job, server, outcome);
-            self.schedule_after(delay, Event::ReplyArrived(reply));
+            let attempt_end = AttemptEnd::of_job(&job, server, outcome);
+            self.schedule_after(delay, Event::AttemptEnded(attempt_end));
         }
     }
 
@@ -151,7 +154,7 @@
         self.reset_jobs(server, Outcome::Reset);
     }
 
-    /// Starts, with nothing cached and cold.
+    /// Restarts a server, cold and with an empty cache.
     pub(super) fn restart_server(&mut self, server: usize) {
         let now = self.now;
         self.servers[server].restart(now);
--- a/crates/lab/src/emulator/setup.rs
+++ b/crates/lab/src/emulator/setup.rs
@@ -1,17 +1,17 @@
-//! The simulation at its beginning and its end.
+//! Initial state of the simulation, and the report at its end.
 use quartzhub_membership::sim::EventQueue;
 use quartzhub_policy::{EndpointState, Pcg, Product, Time};
 use rand_distr::Zipf;
 use rustc_hash::FxHashMap;
 
 use super::state::{ListedEndpoint, Simulation};
-use super::ANSWER_SLACK;
+use super::RESPONSE_SLACK;
 use crate::rules::RuleChecker;
 use crate::scenario::Scenario;
 use crate::server::Server;
 use crate::stats::Report;
 
-/// By product, its share of the traffic and that of all before it.
+/// Cumulative traffic shares: by product, its own share plus those of all products before it.
 fn cumulative_shares(scenario: &Scenario) -> Vec<f64> {
     let sum: f64 = scenario.products.iter().map(|product| product.share).sum();
     let mut cumulative = 0.0;
@@ -22,7 +22,7 @@
     shares.collect()
 }
 
-/// The scenario's caches, with speeds drawn from its range, and the origin.
+/// The scenario's caches, with speeds drawn from the configured range, followed by the origin.
 fn servers(scenario: &Scenario, rng: &mut Pcg) -> Vec<Server> {
     let [slowest, fastest] = scenario.caches.speed;
     let caches = (0..scenario.caches.count).map(|_| {
@@ -60,29 +60,31 @@
             zipf,
             popularity_shift: 0,
             traffic_factor: 1.0,
-            hot_key_share: 0.0,
-            scan_share: 0.0,
+            hot_key_fraction: 0.0,
+            scan_fraction: 0.0,
             network_delay_factor: 1.0,
             last_id: 0,
             scanned_keys: 0,
-            checker: RuleChecker::new(ANSWER_SLACK),
+            checker: RuleChecker::new(RESPONSE_SLACK),
             report: Report::new(scenario),
         }
     }
 
-    /// Each cache keeps an even part of what is most popular: what a fleet that has run for long would hold.
-    pub(super) fn fill_caches(&mut self) {
+    /// Fills the caches with the most popular keys, spread evenly over them, as in a fleet that has
+    /// been running for a long time.
+    pub(super) fn prefill_caches(&mut self) {
         let caches = self.servers.len() - 1;
         let capacity = self.scenario.caches.memory * caches;
         let cached_keys = (capacity as u64).min(self.scenario.keys.count);
-        // Policies spread keys by a hash of their own; which cache has which key is for the run to find.
+        // Each policy distributes keys by its own hash, so this placement does not match the
+        // policy's: requests may miss until the policy's own placement is cached.
         for key in (0..cached_keys).rev() {
             let hash = (key.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33) as usize;
             self.servers[hash % caches].cache.put(key);
         }
     }
 
-    /// What the run has shown.
+    /// Returns the report with the results of the rule checks added.
     pub(super) fn into_report(self) -> Report {
         let mut report = self.report;
         report.violations = self.checker.violations;
--- a/crates/lab/src/emulator/simulation.rs
+++ b/crates/lab/src/emulator/simulation.rs
@@ -1,4 +1,4 @@
-//! What all nodes share: the clock and its events, random draws, the network and the endpoint list.
+//! State that all nodes share: clock and events, random draws, the network and the endpoint list.
 use quartzhub_policy::{EndpointState, Span, Time};
 use rand_distr::{Distribution, Exp1, StandardNormal};
 
@@ -11,8 +11,8 @@
         self.events.schedule(at.max(self.now), event);
     }
 
-    pub(super) fn schedule_after(&mut self, wait: Span, event: Event) {
-        self.schedule_at(self.now + wait, event);
+    pub(super) fn schedule_after(&mut self, delay: Span, event: Event) {
+        self.schedule_at(self.now + delay, event);
     }
 
     pub(super) fn allocate_id(&mut self) -> u64 {
@@ -20,7 +20,7 @@
         self.last_id
     }
 
-    /// Time that a message takes through the network, drawn anew.
+    /// Draws the one-way delay of a message through the network.
     pub(super) fn network_delay(&mut self) -> Span {
         let network = &self.scenario.network;
         let jitter: f64 = Exp1.sample(&mut self.rng);
@@ -31,7 +31,7 @@
         Span::from_ms(ms)
     }
 
-    /// A node closes the connection of an attempt: its server drops the job.
+    /// Closes the connection of an attempt; its server discards the job when the close arrives.
     pub(super) fn send_cancellation(&mut self, attempt: &Attempt) {
         let delay = self.network_delay();
         let cancellation = Cancellation {
@@ -42,11 +42,11 @@
         self.schedule_after(delay, Event::AttemptCancelled(cancellation));
     }
 
-    pub(super) fn uniform(&mut self, [from, to]: [f64; 2]) -> f64 {
+    pub(super) fn draw_uniform(&mut self, [from, to]: [f64; 2]) -> f64 {
         from + (to - from) * self.rng.unit()
     }
 
-    /// Work of this mean, by the scenario's distribution.
+    /// Draws an amount of work with mean `ms` from the scenario's distribution.
     pub(super) fn draw_work(&mut self, ms: f64) -> Span {
         let factor: f64 = match self.scenario.caches.work {
             WorkDistribution::Fixed => 1.0,
@@ -62,11 +62,11 @@
     }
 
     pub(super) fn draw_key(&mut self) -> u64 {
-        if self.scan_share > 0.0 && self.rng.unit() < self.scan_share {
+        if self.scan_fraction > 0.0 && self.rng.unit() < self.scan_fraction {
             self.scanned_keys += 1;
             return u64::MAX - self.scanned_keys;
         }
-        if self.hot_key_share > 0.0 && self.rng.unit() < self.hot_key_share {
+        if self.hot_key_fraction > 0.0 && self.rng.unit() < self.hot_key_fraction {
             return 0;
         }
         let count = self.scenario.keys.count;
@@ -74,7 +74,7 @@
             Some(zipf) => (zipf.sample(&mut self.rng) as u64).clamp(1, count) - 1,
             None => ((self.rng.unit() * count as f64) as u64).min(count - 1),
         };
-        // What is at a rank moves on as popularity drifts, one rank at a time.
+        // As popularity drifts, every seventh rank moves on to the next key.
         (rank + self.popularity_shift * ((rank % 7 == 3) as u64)) % count
     }
 
@@ -82,18 +82,20 @@
         self.servers.len() - 1
     }
 
-    /// The endpoint list changes; each node hears of it late.
+    /// Changes a server's entry in the endpoint list; each node receives the update after its own
+    /// delay.
     pub(super) fn update_endpoint(&mut self, server: usize, state: EndpointState, nodes: usize) {
         let started = self.servers[server].started;
         self.listed_endpoints[server] = ListedEndpoint { state, started };
         for node in 0..nodes {
-            let lag = Span::from_ms(self.uniform(self.scenario.network.endpoint_list_delay_ms));
+            let delay =
+                Span::from_ms(self.draw_uniform(self.scenario.network.endpoint_list_delay_ms));
             let update = EndpointUpdate {
                 server,
                 state,
                 started,
             };
-            self.schedule_after(lag, Event::EndpointChange { node, update });
+            self.schedule_after(delay, Event::EndpointChange { node, update });
         }
     }
 }
--- a/crates/lab/src/emulator/state.rs
+++ b/crates/lab/src/emulator/state.rs
@@ -1,4 +1,4 @@
-//! What the simulation keeps of clients, API calls, attempts and nodes, and what all nodes share.
+//! State of clients, API calls, attempts and nodes, and the state that all nodes share.
 use std::collections::VecDeque;
 
 use quartzhub_membership::sim::EventQueue;
@@ -13,19 +13,20 @@
 use crate::server::Server;
 use crate::stats::Report;
 
-/// A client's API call, with its attempts.
+/// A client's API call, over all its attempts.
 pub(super) struct ClientCall {
     pub(super) product: usize,
     pub(super) key: u64,
     pub(super) started_at: Time,
-    /// The number of its present attempt, from 1.
+    /// Number of its current attempt, from 1.
     pub(super) attempt_number: u32,
     pub(super) attempt_sent_at: Time,
-    /// The node of its present attempt.
+    /// Index of the node that receives its current attempt.
     pub(super) node: usize,
-    /// The API call that its present attempt is at its node.
+    /// Id of the API call that its current attempt opened at the node.
     pub(super) call: Option<u64>,
-    pub(super) answered: bool,
+    /// The current attempt has its response or has been given up: its further events are ignored.
+    pub(super) attempt_ended: bool,
 }
 
 /// A cache that did not have the value of an API call.
@@ -45,13 +46,14 @@
     pub(super) product: usize,
     pub(super) write: bool,
     pub(super) deadline: Time,
-    pub(super) answered: bool,
+    /// It has its final response, or its client has disconnected.
+    pub(super) closed: bool,
     pub(super) attempts: Vec<Attempt>,
-    /// Caches that are given the value once it is fetched.
+    /// Caches that are sent the value once it is fetched.
     pub(super) misses: Vec<CacheMiss>,
 }
 
-/// One sending of an API call to one server.
+/// One attempt of a node for an API call, at one server.
 #[derive(Clone, Copy)]
 pub(super) struct Attempt {
     pub(super) server: usize,
@@ -59,11 +61,11 @@
     pub(super) job_id: u64,
     pub(super) sent_at: Time,
     pub(super) in_flight: bool,
-    /// Its bytes are on their way.
+    /// The request has been written to the connection.
     pub(super) written: bool,
 }
 
-/// A connection that a node keeps for its next attempt.
+/// An idle connection that a node keeps for a later attempt.
 #[derive(Clone, Copy)]
 pub(super) struct IdleConnection {
     /// The incarnation of the server that it leads to.
@@ -71,11 +73,12 @@
     pub(super) idle_since: Time,
 }
 
-/// What a node was notified of about a server.
+/// What a node knows about a server from the endpoint list.
 #[derive(Clone, Copy)]
 pub(super) struct KnownEndpoint {
     pub(super) state: EndpointState,
-    /// Since when the node has known that the server drains or is gone.
+    /// When the node was first notified that the server is draining or gone; none while it is
+    /// ready.
     pub(super) unavailable_since: Option<Time>,
 }
 
@@ -89,40 +92,40 @@
     }
 }
 
-/// What the endpoint list says of a server.
+/// A server's entry in the endpoint list.
 #[derive(Clone, Copy)]
 pub(super) struct ListedEndpoint {
     pub(super) state: EndpointState,
     pub(super) started: Option<Time>,
 }
 
-/// A node but for its router: what sockets and tables are to the real one.
+/// A node without its router; takes the place of the real node's sockets and tables.
 pub(super) struct NodeState {
     /// The node's index.
     pub(super) node: usize,
     pub(super) node_incarnation: u64,
     pub(super) up: bool,
     pub(super) servers: ServerInterner,
-    /// By the node's own indices of servers, which servers these are.
+    /// Maps the node's own server indices to those of the simulation.
     pub(super) servers_by_index: Vec<usize>,
     pub(super) calls: CallTable<NodeCall>,
     pub(super) call_indices: FxHashMap<u64, CallIndex>,
-    /// By server, the oldest first.
+    /// By server, its idle connections, oldest first.
     pub(super) idle_connections: Vec<VecDeque<IdleConnection>>,
-    /// By server.
+    /// By server, what the node knows about it.
     pub(super) known_endpoints: Vec<KnownEndpoint>,
-    /// The node hears nothing of the endpoint list.
+    /// The node receives no updates of the endpoint list.
     pub(super) partitioned: bool,
 }
 
 impl NodeState {
-    /// The open API call of this number.
+    /// The open API call with this id.
     pub(super) fn open_call(&mut self, call: u64) -> Option<&mut NodeCall> {
         let index = *self.call_indices.get(&call)?;
         self.calls.get_mut(index)
     }
 
-    /// Marks an attempt as ended; none if it is not in flight.
+    /// Marks an attempt as ended and returns it; none if it is not in flight.
     pub(super) fn end_attempt(&mut self, call: CallIndex, attempt: usize) -> Option<Attempt> {
         let attempt = self.calls.get_mut(call)?.attempts.get_mut(attempt)?;
         if !std::mem::replace(&mut attempt.in_flight, false) {
@@ -131,7 +134,7 @@
         Some(*attempt)
     }
 
-    /// How many connections to this incarnation of a server are idle.
+    /// Number of idle connections to this incarnation of a server.
     pub(super) fn count_idle(&self, server: usize, incarnation: u64) -> usize {
         self.idle_connections[server]
             .iter()
@@ -154,24 +157,24 @@
     pub(super) events: EventQueue<Event>,
     pub(super) rng: Pcg,
     pub(super) products: Vec<Product>,
-    /// By product, its share of the traffic and that of all before it.
+    /// Cumulative traffic shares: by product, its own share plus those of all products before it.
     pub(super) cumulative_shares: Vec<f64>,
-    /// The caches, and the origin behind them.
+    /// The caches, followed by the origin.
     pub(super) servers: Vec<Server>,
-    /// By server.
+    /// By server, its entry in the endpoint list.
     pub(super) listed_endpoints: Vec<ListedEndpoint>,
     pub(super) clients: FxHashMap<u64, ClientCall>,
-    /// Draws ranks of keys; none where all keys are equally popular.
+    /// Draws the popularity rank of a key; none if all keys are equally popular.
     pub(super) zipf: Option<Zipf<f64>>,
-    /// Ranks are shifted by this as popularity drifts.
+    /// Number of keys by which drift has moved the key of every seventh rank.
     pub(super) popularity_shift: u64,
-    /// What a fault multiplies the traffic by.
+    /// Factor of the traffic rate, set by a fault.
     pub(super) traffic_factor: f64,
-    /// Share of the traffic that goes to the one hot key.
-    pub(super) hot_key_share: f64,
-    /// Share of the traffic that asks for keys wanted only once.
-    pub(super) scan_share: f64,
-    /// What a fault multiplies the network's delays by.
+    /// Fraction of API calls that are for the one hot key.
+    pub(super) hot_key_fraction: f64,
+    /// Fraction of API calls that are for keys requested only once.
+    pub(super) scan_fraction: f64,
+    /// Factor of the network's delays, set by a fault.
     pub(super) network_delay_factor: f64,
     pub(super) last_id: u64,
     pub(super) scanned_keys: u64,
--- a/crates/lab/src/rule_monitor.rs
+++ b/crates/lab/src/rule_monitor.rs
@@ -1,5 +1,5 @@
-//! The rules' checks for real processes: what stub servers were really sent and began, and what clients really got.
-//! Everything is observed by one thread, which may itself be late; how late is measured, and allowed for.
+//! The rule checks for real processes, from what stub servers received and executed and what
+//! clients received. One thread observes all events; its own lateness is measured and allowed for.
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -11,37 +11,38 @@
 use crate::rules::{CallEvent, Rule, RuleChecker, Violation};
 use crate::server::Overload;
 
-/// How much later than it happened an event may be seen on a machine that is not late: a pass over all sockets, and
-/// the time for which a node may wait for a core.
+/// How much later than it happened an event may be observed on a machine without load: one pass
+/// over all sockets, plus the time for which a node may wait for a core.
 const OBSERVATION_DELAY: Span = Span::ms(250);
-/// How long after its client timeout an API call without an answer is taken to have none: the platform's slack, and
-/// more for a busy machine.
-pub const ANSWER_GRACE: Span = Span::ms(1_000);
-/// How often deadlines, and the checks' own lateness, are looked at.
+/// How long after its client timeout an API call counts as without a response: the platform's
+/// slack, plus time for a busy machine.
+pub const RESPONSE_GRACE: Span = Span::ms(1_000);
+/// How often deadlines and the lateness of the checks themselves are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// How much of a lateness is left at the next check: half of it is gone in half a second, by when the events that had
-/// piled up have been seen.
+/// Factor by which the lateness decays from one check to the next. It halves in half a second, by
+/// which time the events that had accumulated have been observed.
 const LATENESS_DECAY: f64 = 0.985;
-/// What a measured lateness allows for, as a multiple of it.
+/// Factor from a measured lateness to the observation lag that is allowed for it.
 const LATENESS_FACTOR: f64 = 2.0;
-/// How long after its client timeout an API call is followed: longer than any attempt for it can be in flight.
+/// How long after its client timeout an API call is tracked: longer than any attempt for it can be
+/// in flight.
 const CALL_RETENTION: Span = Span::ms(20_000);
 
 /// Checks the rules while real nodes, servers and clients run; shared by all tasks of one thread.
 pub struct RuleMonitor {
     started_at: Instant,
     checker: RefCell<RuleChecker>,
-    /// Of late, in seconds.
+    /// Recent lateness of the checks, in seconds; decays by `LATENESS_DECAY`.
     lateness: Cell<f64>,
-    /// The greatest lateness of the checks so far, in seconds.
+    /// Greatest lateness of the checks so far, in seconds.
     pub max_lateness: Cell<f64>,
-    /// By node and server: since when the node has known that the server drains or is gone.
+    /// By node and server: when the node learned that the server is draining or gone.
     unavailable_since: RefCell<HashMap<(usize, usize), Time>>,
-    /// By node, the API calls that it has not answered.
+    /// By node, its API calls without a final response.
     open_calls: RefCell<HashMap<usize, Vec<u64>>>,
-    /// When to look at an API call: for its answer, and to forget it.
+    /// When to check an API call: for its final response, and later to discard it.
     due_checks: RefCell<BTreeSet<(Time, u64)>>,
-    /// Nodes whose processes are suspended, or are being killed.
+    /// Nodes whose processes are suspended or are being killed.
     excused_nodes: RefCell<BTreeSet<usize>>,
     grace: Span,
 }
@@ -51,7 +52,7 @@
     pub fn start(grace: Span) -> Rc<RuleMonitor> {
         let monitor = Rc::new(RuleMonitor {
             started_at: Instant::now(),
-            checker: RefCell::new(RuleChecker::new(ANSWER_GRACE)),
+            checker: RefCell::new(RuleChecker::new(RESPONSE_GRACE)),
             lateness: Cell::new(0.0),
             max_lateness: Cell::new(0.0),
             unavailable_since: RefCell::default(),
@@ -60,21 +61,21 @@
             excused_nodes: RefCell::default(),
             grace,
         });
-        let checking = monitor.clone();
+        let periodic_monitor = monitor.clone();
         tokio::task::spawn_local(async move {
             loop {
-                let meant = Instant::now() + CHECK_INTERVAL;
+                let due_at = Instant::now() + CHECK_INTERVAL;
                 sleep(CHECK_INTERVAL).await;
-                checking.check(meant.elapsed().as_secs_f64());
+                periodic_monitor.check(due_at.elapsed().as_secs_f64());
             }
         });
         monitor
     }
 
-    fn check(&self, late: f64) {
+    fn check(&self, lateness: f64) {
         self.lateness
-            .set((self.lateness.get() * LATENESS_DECAY).max(late));
-        self.max_lateness.set(self.max_lateness.get().max(late));
+            .set((self.lateness.get() * LATENESS_DECAY).max(lateness));
+        self.max_lateness.set(self.max_lateness.get().max(lateness));
         let lag =
             OBSERVATION_DELAY + Span::from_ms(self.lateness.get() * LATENESS_FACTOR * 1_000.0);
         let mut checker = self.checker.borrow_mut();
@@ -84,23 +85,23 @@
         while let Some(&(at, call)) = due_checks.first().filter(|check| check.0 <= now - lag) {
             due_checks.pop_first();
             checker.check_deadline(now, call);
-            let Some(forget_at) = checker.forget_at(call, CALL_RETENTION) else {
+            let Some(discard_at) = checker.discard_at(call, CALL_RETENTION) else {
                 continue;
             };
-            if at >= forget_at {
-                checker.forget(call);
+            if at >= discard_at {
+                checker.discard(call);
             } else {
-                due_checks.insert((forget_at, call));
+                due_checks.insert((discard_at, call));
             }
         }
     }
 
-    /// The time since the monitor started.
+    /// Returns the time since the monitor started.
     pub fn now(&self) -> Time {
         self.at(Instant::now())
     }
 
-    /// An instant of the system's clock, as time since the monitor started.
+    /// Converts an instant of the system's clock to time since the monitor started.
     pub fn at(&self, instant: Instant) -> Time {
         Time(
             instant
@@ -109,16 +110,17 @@
         )
     }
 
-    /// A node has taken it: its last byte is written to a connection that the node's machine accepted.
+    /// Records that a node has accepted an API call: its last byte was written to a connection that
+    /// the node's machine accepted.
     pub fn taken(&self, call: u64, node: usize, product: &Product, client_deadline: Time) {
         let mut checker = self.checker.borrow_mut();
         if checker.is_tracked(call) {
             return;
         }
-        checker.record_taken(self.now(), call, node, *product, client_deadline);
-        // Between a signal and its effect the system still takes calls for the process.
+        checker.record_accepted(self.now(), call, node, *product, client_deadline);
+        // Between a signal and its effect, the kernel still accepts calls for the process.
         if self.excused_nodes.borrow().contains(&node) {
-            checker.excuse(call);
+            checker.exempt(call);
         }
         self.open_calls
             .borrow_mut()
@@ -127,10 +129,10 @@
             .push(call);
         self.due_checks
             .borrow_mut()
-            .insert((client_deadline + ANSWER_GRACE, call));
+            .insert((client_deadline + RESPONSE_GRACE, call));
     }
 
-    /// An attempt for it was sent at this time.
+    /// Records that a node sent an attempt at time `at`.
     pub fn sent(&self, at: Time, call: u64, node: usize, server: usize) {
         let unavailable_since = self.unavailable_since.borrow();
         let since = unavailable_since.get(&(node, server)).copied();
@@ -139,38 +141,41 @@
             .record_sent(at, call, server, since, self.grace);
     }
 
-    /// A server has begun the effect, or found out that it can't.
+    /// Records that a server has begun to execute the effect, or has found that the value is
+    /// missing.
     pub fn began(&self, call: u64, server: usize, miss: bool) {
         self.checker
             .borrow_mut()
             .record_execution(self.now(), call, server, miss);
     }
 
-    /// A final answer has reached its client.
+    /// Records that a final response has reached the client.
     pub fn answered(&self, call: u64, node: usize, event: CallEvent) {
         self.checker
             .borrow_mut()
-            .record_answer(self.now(), call, event);
+            .record_response(self.now(), call, event);
         self.close_call(call, node);
     }
 
-    /// Its client has gone, at its timeout or before.
+    /// Records that the client has disconnected, at its timeout or before.
     pub fn record_client_left(&self, call: u64, node: usize) {
         let now = self.now();
         self.checker.borrow_mut().check_deadline(now, call);
-        self.checker.borrow_mut().record_client_left(now, call);
+        self.checker
+            .borrow_mut()
+            .record_client_disconnect(now, call);
         self.close_call(call, node);
     }
 
-    /// The connection ended with no answer to it.
+    /// Records that the connection ended without a response to the API call.
     pub fn record_connection_closed(&self, call: u64, node: usize) {
         let now = self.now();
         let mut checker = self.checker.borrow_mut();
-        if checker.owes_answer(call) {
-            let what = "its connection ended with no answer to it";
-            checker.record_violation(Rule::OneAnswer, now, what, Some(call));
+        if checker.requires_response(call) {
+            let description = "its connection ended with no answer to it";
+            checker.record_violation(Rule::OneAnswer, now, description, Some(call));
         }
-        checker.excuse(call);
+        checker.exempt(call);
         drop(checker);
         self.close_call(call, node);
     }
@@ -181,22 +186,24 @@
         }
     }
 
-    /// The process is suspended or being killed: for what it has, and gets until it is back, it owes nothing.
+    /// Exempts a node whose process is suspended or being killed: no response is required to its
+    /// open API calls, nor to those that it accepts until it runs again.
     pub fn excuse(&self, node: usize) {
         self.excused_nodes.borrow_mut().insert(node);
         let open_calls = std::mem::take(self.open_calls.borrow_mut().entry(node).or_default());
         let mut checker = self.checker.borrow_mut();
         for call in open_calls {
-            checker.excuse(call);
+            checker.exempt(call);
         }
     }
 
-    /// The process runs again.
+    /// Ends the exemption of a node whose process runs again.
     pub fn resume(&self, node: usize) {
         self.excused_nodes.borrow_mut().remove(&node);
     }
 
-    /// A new process of a node knows nothing of what the one before was notified of.
+    /// Records that a node has a new process, which does not know the endpoint states that the one
+    /// before was notified of.
     pub fn record_node_restart(&self, node: usize) {
         self.resume(node);
         self.unavailable_since
@@ -204,7 +211,7 @@
             .retain(|key, _| key.0 != node);
     }
 
-    /// The node was notified that a server drains or is gone, or that it is in service.
+    /// Records that the node was notified that a server is draining or gone, or is in service.
     pub fn record_endpoint_state(&self, node: usize, server: usize, unavailable: bool) {
         let now = self.now();
         let mut unavailable_since = self.unavailable_since.borrow_mut();
@@ -215,21 +222,23 @@
         }
     }
 
-    /// A server was sent more work than it can bear.
+    /// Records that a server was sent more work than it can handle, if that violates rule 4.
     pub fn record_overload(&self, server: usize, overload: Overload) {
-        if let Some(what) = overload.violation(server) {
-            self.checker.borrow_mut().record_overload(self.now(), &what);
+        if let Some(description) = overload.violation(server) {
+            self.checker
+                .borrow_mut()
+                .record_overload(self.now(), &description);
         }
     }
 
-    /// The platform's rule is broken.
-    pub fn record_platform_violation(&self, what: &str) {
+    /// Records a violation of the platform's requirements.
+    pub fn record_platform_violation(&self, description: &str) {
         self.checker
             .borrow_mut()
-            .record_violation(Rule::Platform, self.now(), what, None);
+            .record_violation(Rule::Platform, self.now(), description, None);
     }
 
-    /// The violations that are kept, and how many there are in all.
+    /// Returns the violations that are kept, and the number of all violations.
     pub fn verdict(&self) -> (Vec<Violation>, u64) {
         let checker = self.checker.borrow();
         (checker.violations.clone(), checker.violation_count)
--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -1,5 +1,6 @@
-//! The four rules and the platform's, checked on every run by what really happened: the emulator or the rig reports
-//! what a node did and what a server began, and a violation keeps the history of the API call that it concerns.
+//! Checks of the four rules and of the platform's requirements, made on every run from observed
+//! events: the emulator or the rig reports what the nodes did and what the servers executed. A
+//! violation keeps the history of the API call that it concerns.
 mod call_history;
 
 use quartzhub_policy::{Idempotency, Product, Span, Time};
@@ -8,65 +9,70 @@
 pub use call_history::CallEvent;
 use call_history::CallHistory;
 
-/// What must hold on every run.
+/// A rule that every run is checked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rule {
-    /// One final answer to what was taken, in time, and nothing sent for it afterwards.
+    /// An accepted API call gets exactly one final response, in time, and nothing is sent for it
+    /// afterwards.
     OneAnswer,
-    /// No effect twice.
+    /// No effect is executed twice.
     NoEffectTwice,
-    /// Nothing new to a draining or gone server after the grace.
+    /// No new attempt is sent to a draining or gone server after the grace period.
     Drains,
-    /// No cold server overloaded, nor the origin by their misses.
+    /// No cold server is overloaded, nor the origin by the misses of cold caches.
     ColdServers,
-    /// What the platform asks of a process: no datagram too long, no end by itself.
+    /// The platform's requirements of a node's process: no datagram over the size limit, no exit by
+    /// itself.
     Platform,
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Debug, Clone)]
 pub struct Violation {
-    /// Which rule it was.
+    /// The violated rule.
     pub rule: Rule,
-    /// When it was seen.
+    /// When the violation was observed.
     pub at: Time,
-    /// How it was broken.
+    /// How the rule was violated.
     pub what: String,
     /// The events of the API call that it concerns; empty if it concerns none.
     pub history: String,
 }
 
-/// Violations of each rule that are kept whole; more are only counted.
+/// Violations of each rule that are kept with their history; further ones are only counted.
 const MAX_VIOLATIONS: usize = 5;
 
-/// Follows every API call of a run and keeps the violations.
+/// Tracks every API call of a run and collects violations.
 pub struct RuleChecker {
     histories: FxHashMap<u64, CallHistory>,
     /// The first violations of each rule.
     pub violations: Vec<Violation>,
-    /// All violations, those included that are not kept.
+    /// Number of all violations, including those that are not kept.
     pub violation_count: u64,
-    /// How late a final answer may come.
-    slack: Span,
-    /// How much later than it happened an event may be seen here. None in the emulator; on sockets the checks' own
-    /// process may have been suspended, and what it finds then comes in any order.
+    /// How long after the client timeout a missing final response is reported. On sockets, also the
+    /// least tolerance for a late one.
+    response_slack: Span,
+    /// How much later than it happened an event may be observed. Zero in the emulator. On sockets,
+    /// the process that runs the checks may have been suspended; it then observes events in any
+    /// order.
     pub observation_lag: Span,
 }
 
 impl RuleChecker {
-    /// A checker without any API call; `slack` is how late a final answer may come.
-    pub fn new(slack: Span) -> RuleChecker {
+    /// Creates a checker without API calls; `response_slack` is how long after the client timeout a
+    /// missing final response is reported.
+    pub fn new(response_slack: Span) -> RuleChecker {
         RuleChecker {
             histories: FxHashMap::default(),
             violations: Vec::new(),
             violation_count: 0,
-            slack,
+            response_slack,
             observation_lag: Span::ZERO,
         }
     }
 
-    /// A node has taken an API call whose client waits until `client_deadline`.
-    pub fn record_taken(
+    /// Records that a node has accepted an API call whose client waits until `client_deadline`.
+    pub fn record_accepted(
         &mut self,
         now: Time,
         call: u64,
@@ -79,7 +85,7 @@
         self.histories.insert(call, history);
     }
 
-    /// Whether the API call was taken and is not forgotten.
+    /// Whether the API call was accepted and has not been discarded.
     pub fn is_tracked(&self, call: u64) -> bool {
         self.histories.contains_key(&call)
     }
@@ -90,7 +96,8 @@
         Some(history)
     }
 
-    /// A node has sent an attempt; `unavailable_since`: since when it has known that the server drains or is gone.
+    /// Records that a node has sent an attempt; `unavailable_since`: when the node learned that the
+    /// server is draining or gone.
     pub fn record_sent(
         &mut self,
         now: Time,
@@ -105,16 +112,17 @@
         };
         let closed_at = history.closed_at();
         if closed_at.is_some_and(|closed_at| now - closed_at > lag || lag == Span::ZERO) {
-            let what = "an attempt was sent for an API call that has its answer";
-            self.record_violation(Rule::OneAnswer, now, what, Some(call));
+            let description = "an attempt was sent for an API call that has its answer";
+            self.record_violation(Rule::OneAnswer, now, description, Some(call));
         }
         if unavailable_since.is_some_and(|since| now - since > grace + lag) {
-            let what = "an attempt was sent to a server known to drain or be gone";
-            self.record_violation(Rule::Drains, now, what, Some(call));
+            let description = "an attempt was sent to a server known to drain or be gone";
+            self.record_violation(Rule::Drains, now, description, Some(call));
         }
     }
 
-    /// A server has begun the effect, or found out that it can't.
+    /// Records that a server has begun to execute the effect, or has found that the value is
+    /// missing.
     pub fn record_execution(&mut self, now: Time, call: u64, server: usize, miss: bool) {
         let lag = self.observation_lag;
         let event = if miss {
@@ -131,97 +139,97 @@
         let forbidden = history.forbids_execution(now, lag);
         history.first_execution.get_or_insert(now);
         if forbidden {
-            let what = "an effect was begun twice";
-            self.record_violation(Rule::NoEffectTwice, now, what, Some(call));
+            let description = "an effect was begun twice";
+            self.record_violation(Rule::NoEffectTwice, now, description, Some(call));
         }
     }
 
-    /// A node has given a final answer.
-    pub fn record_answer(&mut self, now: Time, call: u64, event: CallEvent) {
+    /// Records that a node has sent a final response.
+    pub fn record_response(&mut self, now: Time, call: u64, event: CallEvent) {
         let tolerance = if self.observation_lag == Span::ZERO {
             Span::ZERO
         } else {
-            self.observation_lag.max(self.slack)
+            self.observation_lag.max(self.response_slack)
         };
         let Some(history) = self.record(now, call, event) else {
             return;
         };
-        let is_second = history.answered_at.is_some();
-        let is_late = now > history.client_deadline + tolerance && !history.excused;
-        history.answered_at.get_or_insert(now);
-        // A rate-limit reply says that a retry does no harm.
-        let is_harmful = matches!(event, CallEvent::RateLimited)
+        let is_duplicate = history.responded_at.is_some();
+        let is_late = now > history.client_deadline + tolerance && !history.exempt;
+        history.responded_at.get_or_insert(now);
+        // A rate-limited response tells the client that a retry is safe.
+        let denies_execution = matches!(event, CallEvent::RateLimited)
             && history.first_execution.is_some()
             && history.product.idempotency == Idempotency::NonIdempotent;
-        if is_second {
-            let what = "a second final answer";
-            self.record_violation(Rule::OneAnswer, now, what, Some(call));
+        if is_duplicate {
+            let description = "a second final answer";
+            self.record_violation(Rule::OneAnswer, now, description, Some(call));
         } else if is_late {
-            let what = "a final answer after the client timeout";
-            self.record_violation(Rule::OneAnswer, now, what, Some(call));
+            let description = "a final answer after the client timeout";
+            self.record_violation(Rule::OneAnswer, now, description, Some(call));
         }
-        if is_harmful {
-            let what = "a rate-limit reply for what has run";
-            self.record_violation(Rule::NoEffectTwice, now, what, Some(call));
+        if denies_execution {
+            let description = "a rate-limited response for an API call that has been executed";
+            self.record_violation(Rule::NoEffectTwice, now, description, Some(call));
         }
     }
 
-    /// The client has gone before its timeout: no answer is owed.
-    pub fn record_client_left(&mut self, now: Time, call: u64) {
+    /// Records that the client disconnected before its timeout: no response is required.
+    pub fn record_client_disconnect(&mut self, now: Time, call: u64) {
         if let Some(history) = self.record(now, call, CallEvent::Left) {
-            history.client_left_at = Some(now);
+            history.client_disconnected_at = Some(now);
         }
     }
 
-    /// The node that had it can't answer: no answer is owed.
-    pub fn excuse(&mut self, call: u64) {
+    /// Exempts an API call whose node can't respond: no response is required.
+    pub fn exempt(&mut self, call: u64) {
         if let Some(history) = self.histories.get_mut(&call) {
-            history.excused = true;
+            history.exempt = true;
         }
     }
 
-    /// Where its client timeout is over, it must have its answer.
+    /// Records a violation if the client timeout has passed without a required response.
     pub fn check_deadline(&mut self, now: Time, call: u64) {
         let Some(history) = self.histories.get(&call) else {
             return;
         };
-        if history.owes_answer() && now >= history.client_deadline + self.slack {
-            let what = "no final answer before the client timeout";
-            self.record_violation(Rule::OneAnswer, now, what, Some(call));
+        if history.requires_response() && now >= history.client_deadline + self.response_slack {
+            let description = "no final answer before the client timeout";
+            self.record_violation(Rule::OneAnswer, now, description, Some(call));
         }
     }
 
-    /// Whether an answer is still owed.
-    pub fn owes_answer(&self, call: u64) -> bool {
+    /// Whether a final response is still required.
+    pub fn requires_response(&self, call: u64) -> bool {
         self.histories
             .get(&call)
-            .is_some_and(CallHistory::owes_answer)
+            .is_some_and(CallHistory::requires_response)
     }
 
-    /// When it may be forgotten: so long after its client timeout.
-    pub fn forget_at(&self, call: u64, retention: Span) -> Option<Time> {
+    /// When the API call may be discarded: `retention` after its client timeout.
+    pub fn discard_at(&self, call: u64, retention: Span) -> Option<Time> {
         self.histories
             .get(&call)
             .map(|history| history.client_deadline + retention)
     }
 
-    /// Nothing more can happen to it.
-    pub fn forget(&mut self, call: u64) {
+    /// Discards an API call for which no more events can occur.
+    pub fn discard(&mut self, call: u64) {
         self.histories.remove(&call);
     }
 
-    /// How many API calls are followed.
+    /// Number of tracked API calls.
     pub fn tracked_calls(&self) -> usize {
         self.histories.len()
     }
 
-    /// A server was overloaded in a way that rule 4 forbids.
-    pub fn record_overload(&mut self, now: Time, what: &str) {
-        self.record_violation(Rule::ColdServers, now, what, None);
+    /// Records that a server was overloaded in a way that rule 4 forbids.
+    pub fn record_overload(&mut self, now: Time, description: &str) {
+        self.record_violation(Rule::ColdServers, now, description, None);
     }
 
-    /// A rule is broken, by an API call if one is given.
-    pub fn record_violation(&mut self, rule: Rule, at: Time, what: &str, call: Option<u64>) {
+    /// Records a violation of a rule, with the history of the API call if one is given.
+    pub fn record_violation(&mut self, rule: Rule, at: Time, description: &str, call: Option<u64>) {
         self.violation_count += 1;
         let of_rule = self.violations.iter().filter(|kept| kept.rule == rule);
         if of_rule.count() >= MAX_VIOLATIONS {
@@ -231,7 +239,7 @@
         self.violations.push(Violation {
             rule,
             at,
-            what: what.to_owned(),
+            what: description.to_owned(),
             history: history
                 .map(|history| history.describe())
                 .unwrap_or_default(),
--- a/crates/lab/src/rules/call_history.rs
+++ b/crates/lab/src/rules/call_history.rs
@@ -1,14 +1,14 @@
-//! The events of one API call, as a violation shows them, and what follows from them.
+//! The events of one API call, as a violation shows them, and the state that follows from them.
 use std::fmt::Write as _;
 
 use quartzhub_policy::{Idempotency, Product, Span, Time};
 
-/// Events of one API call that are kept: far more than any call of a correct node has.
+/// Most events kept of one API call: far more than any call of a correct node has.
 const MAX_EVENTS: usize = 64;
-/// What happens to an API call.
+/// An event of an API call.
 #[derive(Debug, Clone, Copy)]
 pub enum CallEvent {
-    /// A node has taken it and owes an answer.
+    /// A node has accepted it and must send a final response.
     Taken {
         /// The node's index.
         node: usize,
@@ -18,7 +18,7 @@
         /// The server's index.
         server: usize,
     },
-    /// A server has begun its effect.
+    /// A server has begun to execute its effect.
     Began {
         /// The server's index.
         server: usize,
@@ -28,25 +28,25 @@
         /// The server's index.
         server: usize,
     },
-    /// Its client was answered with its value.
+    /// Its client got a response with its value.
     Fulfilled,
-    /// Its client was answered that it was not run, and may retry.
+    /// Its client got the response that it was not executed and may be retried.
     RateLimited,
-    /// Its client was answered with an error that promises nothing.
+    /// Its client got an error, which does not say whether it was executed.
     Errored,
-    /// Its client has gone.
+    /// Its client has disconnected.
     Left,
 }
 
-/// What is known of one API call.
+/// The recorded events and state of one API call.
 pub(super) struct CallHistory {
     call: u64,
     pub(super) product: Product,
     pub(super) client_deadline: Time,
-    pub(super) answered_at: Option<Time>,
-    pub(super) client_left_at: Option<Time>,
-    /// Its node was suspended, was killed or is gone: no answer is owed.
-    pub(super) excused: bool,
+    pub(super) responded_at: Option<Time>,
+    pub(super) client_disconnected_at: Option<Time>,
+    /// Its node was suspended, killed or has exited: no response is required.
+    pub(super) exempt: bool,
     pub(super) first_execution: Option<Time>,
     events: Vec<(Time, CallEvent)>,
 }
@@ -57,9 +57,9 @@
             call,
             product,
             client_deadline,
-            answered_at: None,
-            client_left_at: None,
-            excused: false,
+            responded_at: None,
+            client_disconnected_at: None,
+            exempt: false,
             first_execution: None,
             events: Vec::new(),
         }
@@ -71,19 +71,19 @@
         }
     }
 
-    /// When its client ceased to wait, by an answer or by itself.
+    /// When its client stopped waiting: at the first response or by disconnecting.
     pub(super) fn closed_at(&self) -> Option<Time> {
-        [self.answered_at, self.client_left_at]
+        [self.responded_at, self.client_disconnected_at]
             .into_iter()
             .flatten()
             .min()
     }
 
-    pub(super) fn owes_answer(&self) -> bool {
-        self.closed_at().is_none() && !self.excused
+    pub(super) fn requires_response(&self) -> bool {
+        self.closed_at().is_none() && !self.exempt
     }
 
-    /// Whether the effect may not begin again now.
+    /// Whether executing the effect again now would violate a rule.
     pub(super) fn forbids_execution(&self, now: Time, lag: Span) -> bool {
         let Some(first) = self.first_execution else {
             return false;
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The API call with its events, in one line.
+    /// Formats the API call and its events in one line.
     pub(super) fn describe(&self) -> String {
         let mut line = format!("API call {}, {:?}:", self.call, self.product.idempotency);
         for (at, event) in &self.events {
