--- a/crates/lab/src/emulator/attempts.rs
+++ b/crates/lab/src/emulator/attempts.rs
@@ -15,10 +15,10 @@
     match (origin, write, miss, call_open) {
         (false, _, true, _) => Metric::Miss,
         (false, _, false, true) => Metric::Hit,
-        (false, _, false, false) => Metric::HitUnwanted,
-        (true, true, _, true) => Metric::Wrote,
-        (true, false, _, true) => Metric::Fetched,
-        (true, _, _, false) => Metric::OriginUnwanted,
+        (false, _, false, false) => Metric::HitForClosedCall,
+        (true, true, _, true) => Metric::OriginWrite,
+        (true, false, _, true) => Metric::OriginRead,
+        (true, _, _, false) => Metric::OriginWorkForClosedCall,
     }
 }
 
@@ -44,7 +44,7 @@
             job, server, miss, ..
         } = finished;
         let server_state = &mut self.sim.servers[server];
-        if server_state.incarnation != finished.incarnation || !server_state.end_job(job.id) {
+        if server_state.incarnation != finished.incarnation || !server_state.finish_job(job.id) {
             return;
         }
         if server_state.health == Health::Hung {
@@ -134,7 +134,9 @@
         let Some(ended) = node_state.end_attempt(index, attempt) else {
             return;
         };
-        self.sim.report.mark(now, call ^ (outcome as u64) << 8);
+        self.sim
+            .report
+            .add_to_trace(now, call ^ (outcome as u64) << 8);
         self.return_connection(node, server, ended.incarnation, outcome);
         let open = self.nodes[node].node_state.calls.get(index);
         let in_time = open.is_some_and(|open| !open.closed && now < open.deadline);
--- a/crates/lab/src/emulator/effects.rs
+++ b/crates/lab/src/emulator/effects.rs
@@ -98,7 +98,7 @@
             .record_response(self.sim.now, open.call, event);
         self.sim
             .report
-            .mark(self.sim.now, open.call ^ outcome as u64);
+            .add_to_trace(self.sim.now, open.call ^ outcome as u64);
         if std::mem::replace(&mut open.closed, true) {
             return;
         }
@@ -137,7 +137,8 @@
     fn new_attempt(&mut self, index: CallIndex, server: usize) -> Option<Job> {
         let sim = &mut *self.sim;
         let open = self.node_state.calls.get_mut(index)?;
-        sim.report.mark(sim.now, open.call ^ (server as u64) << 40);
+        sim.report
+            .add_to_trace(sim.now, open.call ^ (server as u64) << 40);
         let mean_ms = if server == sim.origin() {
             sim.scenario.origin.work_ms
         } else {
--- a/crates/lab/src/emulator/servers.rs
+++ b/crates/lab/src/emulator/servers.rs
@@ -128,7 +128,7 @@
         if server.queue.len() < queued {
             self.report.count(self.now, Metric::CancelledInQueue);
         } else if server.running.len() < running {
-            self.report.count(self.now, Metric::CancelledAtWork);
+            self.report.count(self.now, Metric::CancelledWhileRunning);
         }
         self.begin_work(cancellation.server);
     }
@@ -154,7 +154,7 @@
         self.reset_jobs(server, Outcome::Reset);
     }
 
-    /// Restarts a server, cold and with an empty cache.
+    /// Restarts a server with an empty cache. A cache is cold afterwards, the origin is not.
     pub(super) fn restart_server(&mut self, server: usize) {
         let now = self.now;
         self.servers[server].restart(now);
--- a/crates/lab/src/gossip.rs
+++ b/crates/lab/src/gossip.rs
@@ -1,5 +1,6 @@
-//! The membership protocol at sizes that processes don't reach: how soon a crash is suspected and known to all nodes, how often
-//! a node that lives is removed, and its traffic; beside plain SWIM in the same runs.
+//! Emulation of the membership protocol at sizes that processes don't reach: how soon a crash is
+//! suspected and known to all nodes, how often a live node is removed, and the traffic of the
+//! protocol. Plain SWIM is run on the same inputs for comparison.
 mod report;
 
 use quartzhub_membership::sim::Network;
@@ -9,48 +10,49 @@
 
 pub use report::{plot, table};
 
-/// Time in which a fleet that started at once has found itself.
+/// Time in which the nodes of a fleet, all started at once, learn of each other.
 const SETTLING_TIME: Span = Span::ms(60_000);
 
-/// Time for which traffic is measured.
+/// Period over which traffic is measured.
 const TRAFFIC_WINDOW: Span = Span::ms(5_000);
 
-/// Crashes come at a random time within this, so that they meet no fixed moment of a probe period.
+/// Each crash is delayed by a random time up to this, so that crashes hit any phase of the probe
+/// period.
 const CRASH_JITTER: Span = Span::ms(400);
 
-/// A crash that is not known to all nodes by then counts as unseen.
-const DETECTION_LIMIT: Span = Span::ms(15_000);
+/// A crash that not all nodes know of by then counts as undetected.
+const DETECTION_TIMEOUT: Span = Span::ms(15_000);
 
-/// Time from one look at the nodes' views after a crash to the next.
+/// Interval between two checks of the nodes' views after a crash.
 const DETECTION_STEP: Span = Span::ms(50);
 
-/// Share of datagrams that are lost while false removals are counted.
+/// Fraction of datagrams that are lost while false removals are counted.
 const LOSS: f64 = 0.1;
 
-/// Least time for which a node is paused.
+/// Shortest pause of a node.
 const MIN_PAUSE: Span = Span::ms(200);
 
-/// Greatest additional time for which a node is paused.
+/// Most random time added to a pause.
 const PAUSE_JITTER: Span = Span::ms(1_800);
 
-/// Time from one look at the nodes' views to the next while false removals are counted.
+/// Interval between two checks of the nodes' views while false removals are counted.
 const REMOVAL_STEP: Span = Span::ms(500);
 
-/// Looks at the views from one set of pauses to the next.
-const LOOKS_PER_ROUND: usize = 10;
+/// Number of checks between two rounds of pauses.
+const CHECKS_PER_ROUND: usize = 10;
 
-/// A node removed this soon after a pause counts as asleep.
-const AWAKE_AFTER: Span = Span::ms(1_500);
+/// A removal within a node's pause, or up to this long after it, is attributed to the pause.
+const PAUSE_EFFECT: Span = Span::ms(1_500);
 
-/// Nodes whose views are looked at for false removals.
+/// Number of nodes whose views are checked for false removals.
 const OBSERVERS: usize = 16;
 
 /// A failure detector of the comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Detector {
-    /// This project's.
+    /// The detector of this project.
     Quartzhub,
-    /// SWIM without Lifeguard.
+    /// SWIM without the Lifeguard extensions.
     Plain,
 }
 
@@ -70,66 +72,73 @@
     }
 }
 
-/// What one detector does at one size of the fleet.
+/// Results of one detector at one fleet size.
 #[derive(Debug, Clone)]
 pub struct Row {
     /// The detector.
     pub detector: Detector,
-    /// Size of the fleet.
+    /// Number of nodes of the fleet.
     pub nodes: usize,
-    /// Its traffic while nothing happens.
+    /// Its traffic while no node fails.
     pub traffic: Traffic,
-    /// How it sees crashes.
+    /// How it detects crashes.
     pub crashes: CrashDetection,
-    /// What it does where no node crashes.
+    /// Its false removals while no node crashes.
     pub removals: FalseRemovals,
 }
 
-/// Traffic of a node.
+/// Mean traffic of a node.
 #[derive(Debug, Clone, Copy)]
 pub struct Traffic {
-    /// Datagrams sent, a second.
+    /// Datagrams sent per second.
     pub datagrams_per_second: f64,
-    /// Bytes sent, a second.
+    /// Bytes sent per second.
     pub bytes_per_second: f64,
 }
 
-/// How crashes are seen.
+/// Detection of crashes.
 #[derive(Debug, Clone, Copy)]
 pub struct CrashDetection {
-    /// How many nodes crashed.
+    /// Number of crashed nodes.
     pub crashes: usize,
-    /// Crashes that were not known to all nodes in time.
-    pub unseen: usize,
+    /// Crashes that not all nodes knew of within `DETECTION_TIMEOUT`.
+    pub undetected: usize,
     /// Seconds from a crash until the first node suspects it, 99th percentile.
     pub first_suspicion_p99: f64,
     /// Seconds from a crash until all nodes have removed the node, 99th percentile.
     pub removed_by_all_p99: f64,
 }
 
-/// Removals of nodes that live, while datagrams are lost and nodes are paused again and again.
+/// Removals of live nodes, while datagrams are lost and nodes are paused repeatedly.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FalseRemovals {
-    /// Of nodes that had run for some time.
-    pub awake: usize,
-    /// Of nodes that were paused, or had been shortly before.
-    pub asleep: usize,
-    /// Length of the observation, in hours, times the number of nodes.
+    /// Removals of nodes that had not been paused shortly before.
+    pub outside_pauses: usize,
+    /// Removals of nodes that were paused, or had been shortly before.
+    pub in_pauses: usize,
+    /// Observed time in hours, multiplied by the number of nodes.
     pub node_hours: f64,
 }
 
-/// Emulates each detector at each size. `hours`: node-hours in which false removals are counted.
+/// Emulates each detector at each fleet size. `hours`: node-hours over which false removals are
+/// counted.
 pub fn play(sizes: &[usize], crashes: usize, hours: f64, seed: u64) -> Vec<Row> {
     let runs: Vec<(usize, Detector)> = sizes
         .iter()
-        .flat_map(|nodes| [Detector::Quartzhub, Detector::Plain].map(|of| (*nodes, of)))
+        .flat_map(|nodes| [Detector::Quartzhub, Detector::Plain].map(|detector| (*nodes, detector)))
         .collect();
     runs.into_par_iter()
-        .map(|(nodes, detector)| emulate(nodes, detector, crashes, hours, seed))
+        .map(|(nodes, detector)| measure_detector(nodes, detector, crashes, hours, seed))
         .collect()
 }
 
-fn emulate(nodes: usize, detector: Detector, crashes: usize, hours: f64, seed: u64) -> Row {
+fn measure_detector(
+    nodes: usize,
+    detector: Detector,
+    crashes: usize,
+    hours: f64,
+    seed: u64,
+) -> Row {
     let mut network = settled_network(nodes, detector, seed);
     let traffic = measure_traffic(&mut network);
     let crashes = crash_nodes(&mut network, crashes.min(nodes / 4), seed);
@@ -166,7 +175,7 @@
 fn crash_nodes(network: &mut Network, crashes: usize, seed: u64) -> CrashDetection {
     let mut first_suspicions = Vec::new();
     let mut removals_by_all = Vec::new();
-    let mut unseen = 0;
+    let mut undetected = 0;
     let mut rng = Pcg::new(seed);
     for _ in 0..crashes {
         let node = (rng.unit() * network.len() as f64) as usize;
@@ -180,28 +189,29 @@
                 first_suspicions.push(detection.first_suspicion);
                 removals_by_all.push(detection.removed_by_all);
             }
-            None => unseen += 1,
+            None => undetected += 1,
         }
     }
     CrashDetection {
-        crashes: first_suspicions.len() + unseen,
-        unseen,
+        crashes: first_suspicions.len() + undetected,
+        undetected,
         first_suspicion_p99: p99(first_suspicions),
         removed_by_all_p99: p99(removals_by_all),
     }
 }
 
-/// How one crash was seen, in seconds after it.
+/// Detection of one crash, in seconds after it.
 struct Detection {
     first_suspicion: f64,
     removed_by_all: f64,
 }
 
-/// Watches the nodes that run until all have removed one that has just crashed; none if they don't in time.
+/// Runs the network until all running nodes have removed a node that has just crashed; none if they
+/// don't within `DETECTION_TIMEOUT`.
 fn detect_crash(network: &mut Network, node: usize) -> Option<Detection> {
     let crashed = network.now;
     let mut first_suspicion = None;
-    while network.now - crashed < DETECTION_LIMIT {
+    while network.now - crashed < DETECTION_TIMEOUT {
         network.play(DETECTION_STEP);
         let elapsed = (network.now - crashed).seconds();
         let states: Vec<MemberState> = (0..network.len())
@@ -221,19 +231,20 @@
     None
 }
 
-/// Counts each node once for each time that any observer removes it, while no node crashes.
+/// Counts false removals while no node crashes. A removal counts once, however many observers share
+/// it at the same time.
 fn count_false_removals(nodes: usize, detector: Detector, hours: f64, seed: u64) -> FalseRemovals {
     let mut network = settled_network(nodes, detector, seed ^ 1);
     network.links.loss = LOSS;
     let mut rng = Pcg::new(seed ^ 2);
     let mut removals = FalseRemovals::default();
-    let mut awake_since = vec![Time(-60_000_000); nodes];
+    let mut resumed_at = vec![Time(-60_000_000); nodes];
     let mut was_removed = vec![false; nodes];
-    let wanted_seconds = (hours * 3600.0 / nodes as f64).max(30.0);
+    let target_seconds = (hours * 3600.0 / nodes as f64).max(30.0);
     let mut seconds = 0.0;
-    while seconds < wanted_seconds {
-        pause_a_tenth(&mut network, &mut rng, &mut awake_since);
-        for _ in 0..LOOKS_PER_ROUND {
+    while seconds < target_seconds {
+        pause_tenth_of_nodes(&mut network, &mut rng, &mut resumed_at);
+        for _ in 0..CHECKS_PER_ROUND {
             network.play(REMOVAL_STEP);
             for node in 0..nodes {
                 let is_removed = is_removed_anywhere(&network, node);
@@ -242,26 +253,26 @@
                 if !is_new {
                     continue;
                 }
-                if network.now - awake_since[node] < AWAKE_AFTER {
-                    removals.asleep += 1;
+                if network.now - resumed_at[node] < PAUSE_EFFECT {
+                    removals.in_pauses += 1;
                 } else {
-                    removals.awake += 1;
+                    removals.outside_pauses += 1;
                 }
             }
         }
-        seconds += REMOVAL_STEP.seconds() * LOOKS_PER_ROUND as f64;
+        seconds += REMOVAL_STEP.seconds() * CHECKS_PER_ROUND as f64;
     }
     removals.node_hours = seconds * nodes as f64 / 3600.0;
     removals
 }
 
-fn pause_a_tenth(network: &mut Network, rng: &mut Pcg, awake_since: &mut [Time]) {
+fn pause_tenth_of_nodes(network: &mut Network, rng: &mut Pcg, resumed_at: &mut [Time]) {
     let nodes = network.len();
     for _ in 0..(nodes / 10).max(1) {
         let node = (rng.unit() * nodes as f64) as usize;
         let pause = MIN_PAUSE + PAUSE_JITTER.times(rng.unit());
         network.pause(node, pause);
-        awake_since[node] = network.now + pause;
+        resumed_at[node] = network.now + pause;
     }
 }
 
@@ -271,7 +282,7 @@
         .any(|observer| network.state(node, observer) == Some(MemberState::Dead))
 }
 
-/// The 99th percentile; not a number where there are none.
+/// Returns the 99th percentile; not a number if there are no values.
 fn p99(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     let rank = ((values.len() as f64 * 0.99).ceil() as usize).clamp(1, values.len().max(1));
--- a/crates/lab/src/gossip/report.rs
+++ b/crates/lab/src/gossip/report.rs
@@ -6,7 +6,7 @@
 use crate::plot::{draw, Curve};
 use crate::scenario::LabError;
 
-/// The rows as a Markdown table.
+/// Formats the rows as a Markdown table.
 pub fn table(rows: &[Row]) -> String {
     let mut out = String::from(
         "| nodes | detector | crashes | first suspicion, p99 s | removed by all, p99 s | unseen | bytes/s | datagrams/s | \
@@ -21,18 +21,18 @@
             row.crashes.crashes,
             row.crashes.first_suspicion_p99,
             row.crashes.removed_by_all_p99,
-            row.crashes.unseen,
+            row.crashes.undetected,
             row.traffic.bytes_per_second,
             row.traffic.datagrams_per_second,
-            row.removals.awake,
-            row.removals.asleep,
+            row.removals.outside_pauses,
+            row.removals.in_pauses,
             row.removals.node_hours
         );
     }
     out
 }
 
-/// A value that is drawn over the size of the fleet.
+/// A value that is plotted over the fleet size.
 struct Figure {
     file_stem: &'static str,
     title: &'static str,
@@ -53,7 +53,7 @@
     Figure {
         file_stem: "members-removals",
         title: "false removals in 1,000 node-hours",
-        value: |row| row.removals.awake as f64 / row.removals.node_hours * 1000.0,
+        value: |row| row.removals.outside_pauses as f64 / row.removals.node_hours * 1000.0,
     },
 ];
 
@@ -71,7 +71,8 @@
 
     fn draw(&self, folder: &Path, rows: &[Row]) -> Result<PathBuf, LabError> {
         let file = folder.join(format!("{}.svg", self.file_stem));
-        let curves = [Detector::Quartzhub, Detector::Plain].map(|of| self.curve(rows, of));
+        let curves =
+            [Detector::Quartzhub, Detector::Plain].map(|detector| self.curve(rows, detector));
         draw(
             &file,
             self.title,
@@ -83,7 +84,7 @@
     }
 }
 
-/// Draws each figure over the size of the fleet; the files drawn.
+/// Plots each figure over the fleet size; returns the files written.
 pub fn plot(folder: &Path, rows: &[Row]) -> Result<Vec<PathBuf>, LabError> {
     FIGURES
         .iter()
--- a/crates/lab/src/lru.rs
+++ b/crates/lab/src/lru.rs
@@ -1,10 +1,10 @@
-//! A least-recently-used set of keys, in a slab with links by index.
+//! A least-recently-used set of keys, stored in a slab with links by index.
 #[cfg(test)]
 mod tests;
 
 use rustc_hash::FxHashMap;
 
-/// A link to no entry.
+/// Index that links to no entry.
 const NONE: u32 = u32::MAX;
 
 #[derive(Debug, Clone, Copy)]
@@ -14,13 +14,13 @@
     newer: u32,
 }
 
-/// A set of at most so many keys; the longest unused one is evicted first.
+/// A set of at most `capacity` keys; the least recently used one is evicted first.
 #[derive(Debug, Clone)]
 pub struct Lru {
-    /// By key, the index of its entry.
+    /// Index of the entry of each key.
     slots: FxHashMap<u64, u32>,
     entries: Vec<Entry>,
-    /// Indices of entries without a key.
+    /// Indices of unused entries.
     free: Vec<u32>,
     newest: u32,
     oldest: u32,
@@ -28,7 +28,7 @@
 }
 
 impl Lru {
-    /// An empty set.
+    /// Creates an empty set.
     pub fn new(capacity: usize) -> Lru {
         Lru {
             slots: FxHashMap::default(),
@@ -40,17 +40,17 @@
         }
     }
 
-    /// How many keys it has.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Whether it has none.
+    /// Whether the set has no keys.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// Whether it has the key, which is used by this: it is then the newest.
+    /// Whether the set has the key; marks the key as the most recently used.
     pub fn get(&mut self, key: u64) -> bool {
         let Some(&slot) = self.slots.get(&key) else {
             return false;
@@ -60,12 +60,12 @@
         true
     }
 
-    /// Whether it has the key, which is not used by this.
+    /// Whether the set has the key, without marking it as used.
     pub fn contains(&self, key: u64) -> bool {
         self.slots.contains_key(&key)
     }
 
-    /// Adds a key, or uses it; evicts the oldest one if there is no room.
+    /// Adds a key or marks it as used; evicts the least recently used key if the set is full.
     pub fn put(&mut self, key: u64) {
         if self.capacity == 0 || self.get(key) {
             return;
@@ -93,7 +93,7 @@
         self.link(slot);
     }
 
-    /// Removes a key, if it has it.
+    /// Removes a key if the set has it.
     pub fn remove(&mut self, key: u64) {
         if let Some(slot) = self.slots.remove(&key) {
             self.unlink(slot);
--- a/crates/lab/src/lru/tests.rs
+++ b/crates/lab/src/lru/tests.rs
@@ -1,7 +1,7 @@
 use super::Lru;
 
 #[test]
-fn the_longest_unused_goes_first() {
+fn least_recently_used_key_is_evicted_first() {
     let mut lru = Lru::new(2);
     lru.put(1);
     lru.put(2);
--- a/crates/lab/src/metric.rs
+++ b/crates/lab/src/metric.rs
@@ -1,40 +1,40 @@
-//! Counters of what became of attempts, by the second: from them the causes of lost service are read.
+//! Counters of attempt outcomes by second; they show the causes of lost service.
 
-/// What is counted.
+/// A counted event.
 #[derive(Debug, Clone, Copy)]
 pub enum Metric {
-    /// A cache had the value, and its API call still waited.
+    /// A cache had the value, and the API call was still open.
     Hit,
-    /// A cache had the value, and nobody waited for it.
-    HitUnwanted,
+    /// A cache had the value, but the API call was no longer open.
+    HitForClosedCall,
     /// A cache did not have the value.
     Miss,
-    /// An attempt was cancelled in a queue.
+    /// An attempt was cancelled while queued at a server.
     CancelledInQueue,
     /// An attempt was cancelled while a server worked on it.
-    CancelledAtWork,
-    /// A server rejected an attempt for want of capacity.
+    CancelledWhileRunning,
+    /// A server rejected an attempt for lack of capacity.
     Overloaded,
-    /// The origin read for an API call that still waited.
-    Fetched,
-    /// The origin wrote for an API call that still waited.
-    Wrote,
-    /// The origin worked, and nobody waited for it.
-    OriginUnwanted,
-    /// A client made a first attempt.
+    /// The origin read a value for an API call that was still open.
+    OriginRead,
+    /// The origin wrote a value for an API call that was still open.
+    OriginWrite,
+    /// The origin worked for an API call that was no longer open.
+    OriginWorkForClosedCall,
+    /// A client made the first attempt of an API call.
     FirstAttempt,
     /// A client made a retry.
     Retry,
-    /// A client's first attempt got an answer without a value.
+    /// A client's first attempt got a response without a value.
     FirstAttemptFailed,
-    /// A client's retry got an answer without a value.
+    /// A client's retry got a response without a value.
     RetryFailed,
 }
 
-/// How many metrics there are.
+/// Number of metrics.
 pub const METRICS: usize = Metric::RetryFailed as usize + 1;
 
-/// What each is called in a table.
+/// Column headings of the table by second, in the order of `Metric`.
 pub const HEADINGS: [&str; METRICS] = [
     "hit",
     "unwanted",
--- a/crates/lab/src/plot.rs
+++ b/crates/lab/src/plot.rs
@@ -20,17 +20,17 @@
     RGBColor(170, 140, 0),
 ];
 
-/// Room round the points, as a part of their range.
+/// Margin around the points, as a ratio of their range.
 const MARGIN: f64 = 0.05;
-/// From this ratio of the greatest to the least value on, an axis is logarithmic.
+/// An axis is logarithmic if the ratio of its greatest to its lowest value is at least this.
 const LOGARITHMIC_RATIO: f64 = 50.0;
 
-/// Across, up, and half the width of the interval of the latter.
+/// x, y, and half the width of the confidence interval of y.
 type Point = (f64, f64, f64);
 
-/// A line of points with its name.
+/// A named curve.
 pub struct Curve {
-    /// What the legend calls it.
+    /// Its name in the legend.
     pub name: String,
     /// Its points, from left to right.
     pub points: Vec<Point>,
@@ -38,7 +38,7 @@
 
 type DrawResult<'a> = Result<(), Box<dyn std::error::Error + 'a>>;
 
-/// A range that has all these values, with a margin.
+/// Returns a range that contains all values, with a margin.
 fn padded_range(values: impl Iterator<Item = f64>) -> Range<f64> {
     let (low, high) = values.fold((f64::INFINITY, f64::NEG_INFINITY), |(low, high), value| {
         (low.min(value), high.max(value))
@@ -102,9 +102,9 @@
     Ok(())
 }
 
-/// How the values of the first varied key are laid out on the axis.
+/// The x axis: values of the first varied key.
 struct Axis {
-    /// By row; none where the value is no number.
+    /// By row; none if the value is not a number.
     values: Vec<Option<f64>>,
     label: String,
 }
@@ -129,7 +129,8 @@
     }
 }
 
-/// The curve that a row belongs to: its policy, and the values of all varied keys but the first.
+/// Name of the curve that a row belongs to: its policy and the values of all varied keys but the
+/// first.
 fn curve_name(row: &Row) -> String {
     let others = row.point.iter().skip(1).map(String::as_str);
     let parts: Vec<&str> = std::iter::once(row.policy.as_str()).chain(others).collect();
@@ -155,7 +156,8 @@
     curves
 }
 
-/// One plot a figure: the first key that is varied goes across, a curve for each policy and other value.
+/// Draws one plot per figure, over the first varied key, with a curve for each policy and
+/// combination of the other values.
 pub fn sweep(folder: &Path, sweep: &Sweep, rows: &[Row]) -> Result<Vec<PathBuf>, LabError> {
     let axis = Axis::of(sweep, rows);
     let mut files = Vec::new();
@@ -168,7 +170,7 @@
     Ok(files)
 }
 
-/// A curve for each report, with a point a second.
+/// Returns a curve for each report, with a point per second.
 fn curves_by_second(
     reports: &[(String, Report)],
     values: impl Fn(&Report) -> Vec<f64>,
@@ -185,7 +187,7 @@
     reports.iter().map(curve).collect()
 }
 
-/// Service and attempts to the origin, second by second.
+/// Plots service and attempts sent to the origin, by second.
 pub fn run(
     folder: &Path,
     name: &str,
--- a/crates/lab/src/scenario/checks.rs
+++ b/crates/lab/src/scenario/checks.rs
@@ -1,17 +1,17 @@
-//! Checks of a scenario's figures. Messages name the key.
+//! Range checks of a scenario's values. Error messages name the key.
 use std::ops::RangeInclusive;
 
 use super::{Fault, LabError, Product, Scenario};
 
-/// Most servers, and most nodes, that a run on one machine may have.
+/// Most servers, and most nodes, that an emulation on one machine can have.
 const MAX_SERVERS: usize = 5_000;
 /// Most API calls of a run.
 const MAX_CALLS: f64 = 50e6;
-/// Longest delay of a message, and its jitter, in milliseconds.
+/// Longest delay of a message and longest mean jitter, in milliseconds.
 const MAX_DELAY_MS: f64 = 10_000.0;
 /// Longest client timeout, in milliseconds.
 const MAX_TIMEOUT_MS: f64 = 600_000.0;
-/// How much of a run must at least be counted: the rest may settle.
+/// Greatest ratio of the settling time, which is not counted, to the length of a run.
 const MAX_SETTLE_RATIO: f64 = 0.99;
 
 fn check_positive(key: &str, value: f64) -> Result<(), LabError> {
@@ -36,12 +36,14 @@
     if from >= 0.0 && from <= to && to.is_finite() {
         Ok(())
     } else {
-        Err(LabError(format!("{key}: {from} to {to} is no range")))
+        Err(LabError(format!(
+            "{key}: {from} to {to} is not a valid range"
+        )))
     }
 }
 
 impl Scenario {
-    /// Checks all figures; an error names the first key that is wrong.
+    /// Checks all values; an error names the first key whose value is out of range.
     pub fn check(&self) -> Result<(), LabError> {
         check_positive("seconds", self.seconds)?;
         let max_settle = self.seconds * MAX_SETTLE_RATIO;
--- a/crates/lab/src/scenario/defaults.rs
+++ b/crates/lab/src/scenario/defaults.rs
@@ -1,4 +1,4 @@
-//! The defaults of a scenario: what a file leaves out.
+//! Default values of a scenario, for keys that a file leaves out.
 use super::{
     Caches, Clients, Effect, Keys, Network, Origin, Product, Rules, Scenario, Traffic,
     WorkDistribution,
--- a/crates/lab/src/scenario/error.rs
+++ b/crates/lab/src/scenario/error.rs
@@ -1,7 +1,7 @@
 //! The error type of the laboratory.
 use std::fmt;
 
-/// An error of the laboratory, in one line: bad input, or what the system refused.
+/// An error of the laboratory, in one line: invalid input, or a failed operation of the system.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LabError(pub String);
 
--- a/crates/lab/src/scenario/fault.rs
+++ b/crates/lab/src/scenario/fault.rs
@@ -1,54 +1,54 @@
-//! Faults of a scenario: what goes wrong, when, and for how much of the fleet.
+//! Faults of a scenario: kind, time, and extent.
 use serde::{Deserialize, Serialize};
 
-/// What goes wrong.
+/// The kind of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Caches crash and come back cold.
+    /// Caches crash, leave the endpoint list and restart cold.
     Crash,
-    /// Caches hang: they take everything and answer nothing.
+    /// Caches hang: they accept requests but do not respond.
     Hang,
-    /// Caches are slower by the factor.
+    /// Caches are slower by `factor`.
     Slow,
-    /// Caches drain, leave the endpoint list and come back cold.
+    /// Caches drain, leave the endpoint list and restart cold.
     Drain,
-    /// Caches restart on the spot, with nothing cached.
+    /// Caches restart without leaving the endpoint list, cold and with empty caches.
     ColdRestart,
-    /// Nodes hear nothing of the endpoint list.
+    /// Nodes receive no updates of the endpoint list.
     Partition,
-    /// The origin is slower by the factor.
+    /// The origin is slower by `factor`.
     OriginSlow,
     /// The origin stops.
     OriginStop,
-    /// Traffic is multiplied by the factor.
+    /// The traffic rate is multiplied by `factor`.
     Burst,
-    /// One key draws the share of all traffic.
+    /// The ratio `share` of API calls is for one key.
     HotKey,
-    /// The share of reads asks for keys wanted only once.
+    /// The ratio `share` of API calls is for keys that are requested only once.
     Scan,
     /// Nodes restart one after the other, with nothing but the endpoint list.
     NodeRoll,
-    /// The network takes the factor longer.
+    /// Network delays are multiplied by `factor`.
     Network,
 }
 
-/// One fault.
+/// One fault of a scenario.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What goes wrong.
+    /// Its kind.
     pub kind: FaultKind,
-    /// When it begins, in seconds from the beginning of the run.
+    /// When it starts, in seconds from the start of the run.
     #[serde(rename = "at")]
     pub start_s: f64,
     /// How long it lasts, in seconds.
     #[serde(rename = "for", default = "ten")]
     pub duration_s: f64,
-    /// Which part of the caches, nodes or traffic it concerns.
+    /// Ratio of the caches, nodes or API calls that it affects.
     #[serde(default = "one")]
     pub share: f64,
-    /// What it multiplies a duration or a rate by.
+    /// Factor by which it multiplies a duration or a rate.
     #[serde(default = "two")]
     pub factor: f64,
 }
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! What is to be emulated, as a file says it: the types of its keys.
+//! The description of an emulation: types of the keys of a scenario file.
 mod checks;
 mod defaults;
 mod error;
@@ -18,26 +18,27 @@
 #[derive(Debug, Clone, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Scenario {
-    /// All random draws follow from it.
+    /// Seed of all random draws.
     pub seed: u64,
     /// Length of the run, in seconds.
     pub seconds: f64,
-    /// How much of the run's beginning is not counted, in seconds.
+    /// Time at the start of the run that is not counted, in seconds.
     pub settle: f64,
-    /// Name of the policy that the nodes follow.
+    /// Name of the policy that the nodes use.
     pub policy: String,
-    /// Nodes behind a front that spreads clients evenly.
+    /// Number of nodes. Clients' attempts are spread evenly over them, as by a load balancer.
     pub nodes: usize,
-    /// How many nodes the settings name, where that is not how many there are; 0: just those.
+    /// Number of nodes in the nodes' settings, to emulate settings that don't match the fleet; 0:
+    /// the same as `nodes`.
     #[serde(rename = "nodes_told")]
     pub configured_nodes: usize,
     /// The network between clients, nodes and servers.
     pub network: Network,
     /// How clients behave.
     pub clients: Clients,
-    /// How many API calls there are.
+    /// The rate of API calls.
     pub traffic: Traffic,
-    /// Which keys they are for.
+    /// The keys of API calls.
     pub keys: Keys,
     /// The caches.
     pub caches: Caches,
@@ -48,10 +49,10 @@
     /// Most attempts of a node for an API call.
     #[serde(rename = "attempts")]
     pub max_attempts: usize,
-    /// Classes of API calls.
+    /// The products: classes of API calls.
     #[serde(rename = "product")]
     pub products: Vec<Product>,
-    /// What goes wrong.
+    /// The injected faults.
     #[serde(rename = "fault")]
     pub faults: Vec<Fault>,
 }
@@ -60,15 +61,15 @@
 #[derive(Debug, Clone, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    /// The least delay, one way.
+    /// Shortest one-way delay.
     pub delay_ms: f64,
-    /// Mean of what comes on top of the least delay.
+    /// Mean of the random delay added to the shortest one.
     pub jitter_ms: f64,
-    /// Share of messages that are lost and come a retransmission later.
+    /// Fraction of messages that are lost, and arrive after a retransmission.
     pub loss: f64,
-    /// How much later a lost message comes.
+    /// Additional delay of a lost message.
     pub retransmit_ms: f64,
-    /// How late each node hears of a change of the endpoint list, from the least to the most.
+    /// Shortest and longest delay until a node learns of a change of the endpoint list.
     #[serde(rename = "list_late_ms")]
     pub endpoint_list_delay_ms: [f64; 2],
 }
@@ -79,43 +80,44 @@
 pub struct Clients {
     /// Most retries of an API call.
     pub retries: usize,
-    /// Mean wait before a retry.
+    /// Mean delay before a retry.
     #[serde(rename = "wait_ms")]
     pub retry_wait_ms: f64,
-    /// Parts of the client timeout between which an attempt is given up.
+    /// Range from which an attempt's timeout is drawn, as a ratio of the client timeout.
     #[serde(rename = "patience")]
     pub client_timeout_factor: [f64; 2],
 }
 
-/// How many API calls there are.
+/// The rate of API calls.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Traffic {
-    /// API calls a second, over all nodes; arrivals are a Poisson process.
+    /// API calls per second over all nodes; arrivals are a Poisson process.
     pub rate: f64,
 }
 
-/// Which keys API calls are for.
+/// The keys of API calls.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Keys {
-    /// How many there are.
+    /// Number of keys.
     pub count: u64,
-    /// Exponent of a Zipf law; 0 is even.
+    /// Exponent of the Zipf distribution of popularity; 0: all keys are equally popular.
     pub skew: f64,
-    /// Share of the ranks that change their keys in a second.
+    /// Popularity drift: number of keys by which every seventh rank moves per second, as a ratio of
+    /// `count`.
     pub drift: f64,
 }
 
-/// How the durations of work are distributed round their mean.
+/// Distribution of the durations of work around their mean.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WorkDistribution {
-    /// All are the mean.
+    /// Always the mean.
     Fixed,
-    /// Exponentially.
+    /// Exponential.
     Exponential,
-    /// With a standard deviation as large as the mean.
+    /// Log-normal, with a standard deviation equal to the mean.
     Lognormal,
 }
 
@@ -123,32 +125,32 @@
 #[derive(Debug, Clone, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Caches {
-    /// How many there are.
+    /// Number of caches.
     pub count: usize,
-    /// Cores of each.
+    /// Cores of each cache.
     pub cores: usize,
-    /// Speeds between which each cache's is drawn; 1 is the usual one.
+    /// Range from which each cache's speed is drawn; 1 is normal.
     pub speed: [f64; 2],
-    /// Jobs that the queue behind the cores can hold.
+    /// Most jobs queued while all cores are busy.
     pub queue: usize,
-    /// Objects that each can hold.
+    /// Most objects held by each cache.
     pub memory: usize,
     /// Distribution of the durations of work.
     pub work: WorkDistribution,
-    /// Part of the work that finding a miss takes.
+    /// Work of a miss, as a ratio of that of a hit.
     #[serde(rename = "miss_part")]
     pub miss_work_ratio: f64,
-    /// Speed right after a start, as a part of the full one.
+    /// Ratio of the speed right after a restart to the full speed.
     #[serde(rename = "cold")]
     pub cold_speed_ratio: f64,
-    /// How long after a start the full speed is reached.
+    /// Time from a restart until the full speed is reached.
     #[serde(rename = "warm_ms")]
     pub slow_start_ms: f64,
-    /// Most connections to each.
+    /// Most connections to each cache.
     pub connections: usize,
-    /// Work of a new connection.
+    /// Work of accepting a new connection.
     pub handshake_ms: f64,
-    /// The caches hold what is popular when the run begins.
+    /// The caches hold the most popular keys when the run starts.
     #[serde(rename = "filled")]
     pub prefilled: bool,
 }
@@ -161,12 +163,12 @@
     pub cores: usize,
     /// Mean work of a read or a write.
     pub work_ms: f64,
-    /// Jobs that the queue behind the cores can hold.
+    /// Most jobs queued while all cores are busy.
     pub queue: usize,
-    /// It stops for a while when sent so many times its capacity.
+    /// It stops for some time when its load exceeds its capacity by this factor.
     #[serde(rename = "falls_at")]
     pub max_load: f64,
-    /// Over how long the load is measured.
+    /// Window over which the load is measured.
     #[serde(rename = "falls_after_ms")]
     pub load_window_ms: f64,
 }
@@ -175,23 +177,23 @@
 #[derive(Debug, Clone, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// How long a node may still send to a server that it knows to drain or to be gone.
+    /// How long a node may still send to a server after learning that it is draining or gone.
     pub grace_ms: f64,
-    /// A cache that is warming up stops when sent so many times its capacity.
+    /// A cache that is warming up stops when its load exceeds its capacity by this factor.
     #[serde(rename = "overload")]
     pub max_load: f64,
-    /// Over how long the load is measured.
+    /// Window over which the load is measured.
     #[serde(rename = "overload_ms")]
     pub load_window_ms: f64,
 }
 
-/// Whether a call of a product may run again.
+/// Whether a product's API calls may be executed more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// As often as wanted.
+    /// Any number of times.
     Idempotent,
-    /// Servers drop repeats for a while.
+    /// Servers drop repeated calls for some time.
     Deduplicated,
     /// Never.
     AtMostOnce,
@@ -203,27 +205,27 @@
 pub struct Product {
     /// Its name in settings and tables.
     pub name: String,
-    /// Its part of the traffic, against the other products' shares.
+    /// Its share of the traffic, relative to the shares of the other products.
     pub share: f64,
-    /// Whether its calls may run again.
+    /// Whether its calls may be executed more than once.
     #[serde(default = "idempotent")]
     pub effect: Effect,
     /// Its calls write their keys.
     #[serde(default)]
     pub write: bool,
-    /// An answer within it has its full value.
+    /// Latency within which a response earns its full value.
     pub slo_ms: f64,
-    /// When clients give up.
+    /// The client timeout.
     pub timeout_ms: f64,
     /// Mean work at a cache.
     pub work_ms: f64,
-    /// What an answer in time is worth.
+    /// Value of a response within the latency objective.
     #[serde(rename = "value", default = "one")]
     pub priority_weight: f64,
-    /// What a late answer is worth, as a part of that.
+    /// Value of a later response, as a ratio of the full value.
     #[serde(rename = "late_value", default)]
     pub late_priority_weight: f64,
-    /// Of a deduplicated one: how long repeats are dropped.
+    /// How long servers drop repeated calls of a deduplicated product.
     #[serde(default, rename = "window_ms")]
     pub dedup_window_ms: f64,
 }
--- a/crates/lab/src/scenario/parse.rs
+++ b/crates/lab/src/scenario/parse.rs
@@ -1,15 +1,15 @@
-//! Reading TOML documents, with errors that name the key.
+//! Parsing of TOML documents, with errors that name the key.
 use serde::de::DeserializeOwned;
 
 use super::{LabError, Scenario};
 
 impl Scenario {
-    /// Reads a scenario and checks its figures.
+    /// Parses a scenario and checks its values.
     pub fn parse(text: &str) -> Result<Scenario, LabError> {
         Scenario::of(parse_table(text)?)
     }
 
-    /// Takes a scenario from a TOML value and checks its figures.
+    /// Converts a TOML value to a scenario and checks its values.
     pub fn of(value: toml::Value) -> Result<Scenario, LabError> {
         let scenario: Scenario = from_value(value)?;
         scenario.check()?;
@@ -17,7 +17,7 @@
     }
 }
 
-/// Reads a TOML document into its type.
+/// Parses a TOML document into its type.
 pub fn parse_document<T: DeserializeOwned>(text: &str) -> Result<T, LabError> {
     from_value(parse_table(text)?)
 }
@@ -41,7 +41,7 @@
     })
 }
 
-/// Where in a file an error is, and what: in one line.
+/// Formats a parse error, with its position in the document, in one line.
 pub fn one_line(error: &toml::de::Error) -> String {
     error
         .to_string()
--- a/crates/lab/src/scenario/settings.rs
+++ b/crates/lab/src/scenario/settings.rs
@@ -1,21 +1,21 @@
-//! The settings that a scenario gives its nodes.
+//! The settings of a scenario's nodes.
 use quartzhub_policy::{PolicyConfig, Span};
 use quartzhub_settings::{policy_config, Settings};
 
 use super::Scenario;
 
 impl Scenario {
-    /// The settings of node `me`.
+    /// Returns the settings of node `me`.
     pub fn settings(&self, me: usize) -> Settings {
         Settings::from_document(&self.settings_json(me))
     }
 
-    /// The policy's configuration at node `me`.
+    /// Returns the policy configuration of node `me`.
     pub fn policy_config(&self, me: usize) -> PolicyConfig {
         policy_config(&self.settings(me))
     }
 
-    /// The settings as a node's configuration would have them.
+    /// Returns the settings of node `me` in the format of a node's configuration file.
     pub fn settings_json(&self, me: usize) -> serde_json::Value {
         let products = self.products.iter().map(|product| {
             serde_json::json!({
@@ -41,7 +41,7 @@
         })
     }
 
-    /// How long a node may still send to a server that it knows to drain or to be gone.
+    /// How long a node may still send to a server after learning that it is draining or gone.
     pub fn grace(&self) -> Span {
         Span::from_ms(self.rules.grace_ms)
     }
--- a/crates/lab/src/server.rs
+++ b/crates/lab/src/server.rs
@@ -1,5 +1,5 @@
-//! The model of a cache and of the origin: cores, a queue, an LRU memory and slow start. The emulator and the stub
-//! servers drive it and keep the time.
+//! Model of a cache and of the origin: cores, a queue, an LRU cache and slow start. The emulator
+//! and the stub servers drive it and provide the time.
 mod demand;
 
 use std::collections::VecDeque;
@@ -10,16 +10,16 @@
 use crate::scenario::Scenario;
 pub use demand::{Demand, DemandRate};
 
-/// One attempt's work at a server.
+/// The work of one attempt at a server.
 #[derive(Debug, Clone, Copy)]
 pub struct Job {
-    /// Unique in a run.
+    /// Id that is unique in a run.
     pub id: u64,
-    /// The node that sent it.
+    /// Index of the node that sent it.
     pub node: usize,
-    /// The API call at its node.
+    /// Id of the API call at its node.
     pub call: u64,
-    /// Which of the call's attempts it is.
+    /// Index of the attempt among those of its call.
     pub attempt: usize,
     /// The key that it reads or writes.
     pub key: u64,
@@ -31,18 +31,18 @@
     pub caused_by_cold_miss: bool,
 }
 
-/// Whether a server serves.
+/// Whether a server accepts connections and responds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// Takes and answers.
+    /// Accepts requests and responds.
     Up,
-    /// Takes everything and answers nothing.
+    /// Accepts requests but does not respond.
     Hung,
-    /// Takes no connections.
+    /// Refuses connections.
     Down,
 }
 
-/// What is asked of a server, as far as rule 4 is concerned.
+/// Work sent to a server, with what rule 4 depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct Work {
     /// The key that it reads or writes.
@@ -55,28 +55,28 @@
     pub caused_by_cold_miss: bool,
 }
 
-/// What work that comes in does to a server.
+/// How a server's load changes with new work.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Overload {
-    /// The server can bear it.
+    /// The server is not overloaded and admits the work.
     Admitted,
-    /// The origin stops.
+    /// The origin is overloaded and stops.
     Origin {
-        /// Which part of its work came of misses at caches that were warming up.
+        /// Ratio of its work that was caused by misses at caches that were warming up.
         caused_by_cold_miss: f64,
     },
-    /// A cache that is warming up stops.
+    /// A cache that is warming up is overloaded and stops.
     Cold,
 }
 
 impl Overload {
-    /// How it breaks rule 4, if it does.
+    /// Describes the violation of rule 4, if this is one.
     pub fn violation(&self, server: usize) -> Option<String> {
         match *self {
             Overload::Origin {
                 caused_by_cold_miss,
             } if caused_by_cold_miss > MAX_COLD_MISS_RATIO => Some(format!(
-                "the origin stopped, {caused_by_cold_miss:.2} of its work of cold misses"
+                "the origin stopped; {caused_by_cold_miss:.2} of its work was caused by cold misses"
             )),
             Overload::Cold => Some(format!("cache {server} was pushed over while cold")),
             _ => None,
@@ -84,47 +84,50 @@
     }
 }
 
-/// An overloaded origin breaks rule 4 where more of its work than this came of caches that were warming up.
+/// An overloaded origin violates rule 4 if a greater ratio of its work than this was caused by
+/// misses at caches that were warming up.
 const MAX_COLD_MISS_RATIO: f64 = 0.5;
-/// How long a server that was overloaded stays away.
+/// How long a server is down after an overload.
 pub const OVERLOAD_OUTAGE: Span = Span::ms(8_000);
 
 /// A cache or the origin.
 pub struct Server {
     /// It is the origin.
     pub origin: bool,
-    /// Jobs that it runs at a time.
+    /// Number of cores: jobs that it runs at a time.
     pub cores: usize,
-    /// Speed of each core, 1 being the usual one.
+    /// Speed of each core; 1 is normal.
     pub speed: f64,
-    /// Jobs that may wait while all cores are busy.
+    /// Most jobs queued while all cores are busy.
     pub queue_capacity: usize,
-    /// Whether it serves.
+    /// Whether it accepts connections and responds.
     pub health: Health,
-    /// Multiple of the usual duration that a fault makes work take.
+    /// Factor by which a fault prolongs work; 1 without a fault.
     pub slowdown: f64,
     /// When it last restarted; none if it has run since before the simulation.
     pub started: Option<Time>,
-    /// Raised by each stop and start; what belongs to an earlier one is void.
+    /// Incremented at each stop and restart; jobs and connections of an earlier incarnation are
+    /// stale.
     pub incarnation: u64,
-    /// The keys that it has cached.
+    /// The cached keys.
     pub cache: Lru,
-    /// Jobs that wait for a core.
+    /// Jobs waiting for a core.
     pub queue: VecDeque<Job>,
-    /// Jobs that have a core.
+    /// Jobs running on a core.
     pub running: Vec<Job>,
-    /// Open connections of all nodes.
+    /// Number of open connections, over all nodes.
     pub connections: usize,
-    /// Work that was sent of late.
+    /// Work sent to it recently.
     pub demand: Demand,
-    /// How long after a start it is warming up.
+    /// How long it warms up after a restart.
     pub slow_start_duration: Span,
-    /// Speed right after a start, as a part of the full one.
+    /// Ratio of its speed right after a restart to its full speed.
     pub cold_speed_ratio: f64,
 }
 
 impl Server {
-    /// Speed now as a part of the full one, by the time since its start.
+    /// Returns the ratio of its current speed to its full speed, which depends on the time since
+    /// its restart.
     pub fn speed_ratio(&self, now: Time) -> f64 {
         let Some(started) = self.started else {
             return 1.0;
@@ -139,12 +142,12 @@
             .is_some_and(|started| now - started < self.slow_start_duration)
     }
 
-    /// Work that it can do in a second now, in seconds of a full-speed core.
+    /// Returns the work that it can do per second now, in seconds of a full-speed core.
     pub fn capacity(&self, now: Time) -> f64 {
         self.cores as f64 * self.speed * self.speed_ratio(now) / self.slowdown
     }
 
-    /// How long this work takes now, on one core.
+    /// Returns how long this work takes now, on one core.
     pub fn service_time(&self, work: Span, now: Time) -> Span {
         Span(
             (work.0 as f64 * self.slowdown / (self.speed * self.speed_ratio(now)))
@@ -153,7 +156,7 @@
         )
     }
 
-    /// The origin or a cache, as a scenario describes it.
+    /// Creates the origin or a cache, as the scenario describes it.
     pub fn of(scenario: &Scenario, origin: bool, speed: f64) -> Server {
         let caches = &scenario.caches;
         let (cores, queue_capacity, memory) = if origin {
@@ -180,7 +183,7 @@
         }
     }
 
-    /// Starts, with nothing cached and cold.
+    /// Restarts it with an empty cache. A cache is cold afterwards, the origin is not.
     pub fn restart(&mut self, now: Time) {
         self.health = Health::Up;
         self.slowdown = 1.0;
@@ -192,14 +195,15 @@
         }
     }
 
-    /// Work comes in. Rule 4: a cache that is warming up and is sent too much stops, and so does the origin.
+    /// Accounts for new work and checks the load. Rule 4: a cache that is warming up stops when it
+    /// is sent too much work, and so does the origin.
     pub fn admit_work(&mut self, now: Time, work: Work, scenario: &Scenario) -> Overload {
         let (window_ms, max_load) = if self.origin {
             (scenario.origin.load_window_ms, scenario.origin.max_load)
         } else {
             (scenario.rules.load_window_ms, scenario.rules.max_load)
         };
-        // A miss is found out soon.
+        // A miss takes only the work of looking up the key.
         let miss = !self.origin && !work.write && !self.cache.contains(work.key);
         let work_ratio = if miss {
             scenario.caches.miss_work_ratio
@@ -224,12 +228,12 @@
         }
     }
 
-    /// Whether it has neither a core nor a place in its queue.
+    /// Whether all cores are busy and the queue is full.
     pub fn is_full(&self) -> bool {
         self.running.len() >= self.cores && self.queue.len() >= self.queue_capacity
     }
 
-    /// Takes the next job from the queue, if a core is free for it.
+    /// Takes the next job from the queue if a core is free for it.
     pub fn next_job(&mut self) -> Option<Job> {
         if self.health == Health::Up && self.running.len() < self.cores {
             self.queue.pop_front()
@@ -238,8 +242,8 @@
         }
     }
 
-    /// Ends a running job; false if it does not run.
-    pub fn end_job(&mut self, id: u64) -> bool {
+    /// Ends a running job; false if it is not running.
+    pub fn finish_job(&mut self, id: u64) -> bool {
         let position = self.running.iter().position(|job| job.id == id);
         if let Some(position) = position {
             self.running.swap_remove(position);
@@ -247,12 +251,12 @@
         position.is_some()
     }
 
-    /// So many of its connections are closed.
+    /// Records that `count` of its connections were closed.
     pub fn release_connections(&mut self, count: usize) {
         self.connections = self.connections.saturating_sub(count);
     }
 
-    /// Loses all that it had; gives the jobs that it will not finish.
+    /// Stops it: discards its connections and returns the unfinished jobs.
     pub fn stop(&mut self) -> Vec<Job> {
         self.incarnation += 1;
         self.connections = 0;
--- a/crates/lab/src/server/demand.rs
+++ b/crates/lab/src/server/demand.rs
@@ -1,4 +1,4 @@
-//! Work that a server was sent in a sliding window of time.
+//! Work sent to a server in a sliding time window.
 use std::collections::VecDeque;
 
 use quartzhub_policy::{Span, Time};
@@ -20,7 +20,7 @@
     }
 }
 
-/// Work sent in a window of time that ends now.
+/// Work sent in a time window that ends now.
 #[derive(Debug, Default)]
 pub struct Demand {
     sent: VecDeque<SentWork>,
@@ -28,17 +28,17 @@
     cold_miss_seconds: f64,
 }
 
-/// How much work a server is sent.
+/// Rate at which a server is sent work.
 #[derive(Debug, Clone, Copy)]
 pub struct DemandRate {
     /// Seconds of a full-speed core, per second.
     pub rate: f64,
-    /// Which part of it came of misses at caches that were warming up.
+    /// Ratio of the work that was caused by misses at caches that were warming up.
     pub cold_miss_ratio: f64,
 }
 
 impl Demand {
-    /// Adds work that comes in now; gives the demand over the last `window`.
+    /// Adds work that arrives now; returns the demand over the last `window`.
     pub fn add(
         &mut self,
         now: Time,
--- a/crates/lab/src/stats.rs
+++ b/crates/lab/src/stats.rs
@@ -1,4 +1,4 @@
-//! What a run has shown: how API calls ended, and the figures that follow from it.
+//! Results of a run: how API calls ended, and the figures computed from them.
 mod figures;
 mod report;
 
@@ -7,43 +7,44 @@
 pub use figures::FIGURES;
 pub use report::Report;
 
-/// How a client's API call ended for it, its retries counted in.
+/// How a client's API call ended, after any retries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// With its value.
+    /// It got a response with its value.
     Fulfilled,
-    /// With the answer that it was not run and may be retried later.
+    /// It got the response that it was not executed and may be retried later.
     RateLimited,
-    /// With an error that promises nothing.
+    /// It got an error, which does not say whether it was executed.
     Errored,
-    /// It got no answer in its time.
+    /// It got no response before its client timeout.
     GaveUp,
-    /// Its connection ended with no answer, after its request was complete.
+    /// Its connection ended without a response, after its request had been written completely.
     Closed,
-    /// No node took it: no connection, or one that broke before its last byte.
+    /// No node accepted it: there was no connection, or one that broke before the last byte was
+    /// written.
     NeverTaken,
 }
 
-/// A client's API call at its end.
+/// An ended API call of a client.
 #[derive(Debug, Clone, Copy)]
 pub struct EndedCall {
     /// Index of its product.
     pub product: usize,
     /// When its first attempt was sent.
     pub started_at: Time,
-    /// Its latency, retries and waits included.
+    /// Its latency, including retries and the delays before them.
     pub latency: Span,
     /// How it ended.
     pub end: CallOutcome,
     /// It was fulfilled within the latency objective.
     pub in_slo: bool,
-    /// What an answer in time is worth.
+    /// Value of a response within the latency objective.
     pub priority_weight: f64,
-    /// Which part of that was got.
+    /// Ratio of the earned value to `priority_weight`.
     pub value_ratio: f64,
 }
 
-/// Ended API calls, by how they ended.
+/// Counts of ended API calls, by how they ended.
 #[derive(Debug, Clone, Default)]
 pub struct Counts {
     /// All of them.
@@ -62,14 +63,14 @@
     pub closed: u64,
     /// `CallOutcome::NeverTaken`.
     pub never_taken: u64,
-    /// What answers in time to all of them would be worth.
+    /// Value that responses within the latency objective to all of them would have earned.
     pub offered_value: f64,
-    /// What the answers were worth.
+    /// Value that the responses earned.
     pub earned_value: f64,
 }
 
 impl Counts {
-    /// The earned part of the offered value.
+    /// Returns the ratio of the earned to the offered value; 1 if no value was offered.
     pub fn service(&self) -> f64 {
         if self.offered_value > 0.0 {
             self.earned_value / self.offered_value
@@ -78,7 +79,7 @@
         }
     }
 
-    /// The sum over all ways to end.
+    /// Returns the sum of the counts over all ways to end.
     pub fn ended(&self) -> u64 {
         self.in_slo
             + self.late
@@ -89,7 +90,7 @@
             + self.never_taken
     }
 
-    /// Counts an API call that has ended.
+    /// Counts an ended API call.
     fn add(&mut self, ended: &EndedCall) {
         self.total += 1;
         self.offered_value += ended.priority_weight;
--- a/crates/lab/src/stats/figures.rs
+++ b/crates/lab/src/stats/figures.rs
@@ -1,13 +1,13 @@
-//! Figures of a report: those that experiments ask for by their names, and the table by second.
+//! Figures of a report: those that experiments select by name, and the table by second.
 use std::ops::Range;
 
 use super::{Counts, Report};
 use crate::metric::HEADINGS;
 
-/// Length of the periods of which the one with the least service is looked for, in seconds.
+/// Length of the period used for the worst service, in seconds.
 const WORST_SECONDS: usize = 10;
 
-/// Names of the figures that experiments can ask for.
+/// Names of the figures that experiments can select.
 pub const FIGURES: [&str; 14] = [
     "service",
     "worst_10s",
@@ -25,7 +25,7 @@
     "broken",
 ];
 
-/// The earned part of the value offered in all these windows; none if nothing was offered.
+/// Ratio of the earned to the offered value over all these windows; none if no value was offered.
 fn service(windows: &[Counts]) -> Option<f64> {
     let earned: f64 = windows.iter().map(|window| window.earned_value).sum();
     let offered: f64 = windows.iter().map(|window| window.offered_value).sum();
@@ -33,12 +33,12 @@
 }
 
 impl Report {
-    /// Which part of reads at caches found their value.
+    /// Returns the ratio of reads at caches that found their value.
     pub fn hit_ratio(&self) -> f64 {
         self.hits as f64 / (self.hits + self.misses).max(1) as f64
     }
 
-    /// The least service in any ten seconds that are counted.
+    /// Returns the lowest service over any `WORST_SECONDS` consecutive counted seconds.
     pub fn worst_service(&self) -> f64 {
         let first = (self.settled_at.0 / 1_000_000) as usize;
         let counted = self.windows.get(first..).unwrap_or_default();
@@ -48,17 +48,19 @@
             .fold(1.0, f64::min)
     }
 
-    /// Service in the five seconds that begin 3 s after the last fault, as a part of that before the first; not a
-    /// number if one of them has no API calls.
-    pub fn after(&self) -> f64 {
+    /// Returns the service in the five seconds that start 3 s after the last fault, as a ratio to
+    /// that before the first fault; not a number if one of the two periods has no API calls.
+    pub fn service_after_faults(&self) -> f64 {
         let service_in = |period: &Range<usize>| {
             let windows = self.windows.get(period.clone()).unwrap_or_default();
             service(windows).unwrap_or(f64::NAN)
         };
-        service_in(&self.calm_periods.after_faults) / service_in(&self.calm_periods.before_faults)
+        service_in(&self.fault_free_periods.after_faults)
+            / service_in(&self.fault_free_periods.before_faults)
     }
 
-    /// A line a second: what became of nodes' and clients' attempts, and of the API calls begun then.
+    /// Formats a table with a line for each second: outcomes of the API calls started in it, and
+    /// events of nodes' and clients' attempts.
     pub fn by_second(&self) -> String {
         let mut table = format!(
             "second  service in-time   late  {}\n",
@@ -74,13 +76,13 @@
         table
     }
 
-    /// A figure by its name, as experiments ask for it.
+    /// Returns the figure with this name; none if there is no such figure.
     pub fn figure(&self, name: &str) -> Option<f64> {
         let quantile = |q| self.latency.value_at_quantile(q) as f64 / 1000.0;
         Some(match name {
             "service" => self.all.service(),
             "worst_10s" => self.worst_service(),
-            "after" => self.after(),
+            "after" => self.service_after_faults(),
             "tries_per_call" => self.client_attempts as f64 / self.started.max(1) as f64,
             "p50_ms" => quantile(0.5),
             "p99_ms" => quantile(0.99),
--- a/crates/lab/src/stats/report.rs
+++ b/crates/lab/src/stats/report.rs
@@ -1,4 +1,4 @@
-//! What a run collects while it goes on.
+//! Data collected during a run.
 use std::ops::Range;
 
 use hdrhistogram::Histogram;
@@ -13,29 +13,31 @@
 const MAX_LATENCY_US: u64 = 3_600_000_000;
 /// Significant digits of a recorded latency.
 const LATENCY_DIGITS: u8 = 3;
-/// How long after the last fault service is looked at again, in seconds.
+/// Time for recovery between the last fault and the period compared with the one before the faults,
+/// in seconds.
 const RECOVERY_SECONDS: f64 = 3.0;
-/// For how long service is looked at after the last fault, in seconds.
-const AFTERMATH_SECONDS: usize = 5;
+/// Length of the period after the faults, in seconds.
+const POST_FAULT_SECONDS: usize = 5;
 /// Offset and prime of the 64-bit FNV-1a hash.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// The second of the run that a time is in.
+/// The second of the run that a time falls into.
 fn second_of(time: Time) -> usize {
     (time.0 / 1_000_000) as usize
 }
 
-/// Seconds without faults, by which it is seen what service is back to.
-pub(super) struct CalmPeriods {
+/// Periods of the run without faults, in whole seconds; comparing them shows how far service has
+/// recovered.
+pub(super) struct FaultFreePeriods {
     pub(super) before_faults: Range<usize>,
     pub(super) after_faults: Range<usize>,
 }
 
-impl CalmPeriods {
-    fn of(scenario: &Scenario, seconds: usize) -> CalmPeriods {
+impl FaultFreePeriods {
+    fn from_scenario(scenario: &Scenario, seconds: usize) -> FaultFreePeriods {
         let faults = scenario.faults.iter();
-        let first_begin = faults
+        let first_start = faults
             .clone()
             .map(|fault| fault.start_s)
             .fold(scenario.seconds, f64::min);
@@ -43,46 +45,46 @@
             .map(|fault| fault.start_s + fault.duration_s)
             .fold(0.0, f64::max);
         let recovered = (last_end + RECOVERY_SECONDS).ceil() as usize;
-        CalmPeriods {
-            before_faults: scenario.settle as usize..(first_begin as usize).min(seconds),
-            after_faults: recovered.min(seconds)..(recovered + AFTERMATH_SECONDS).min(seconds),
+        FaultFreePeriods {
+            before_faults: scenario.settle as usize..(first_start as usize).min(seconds),
+            after_faults: recovered.min(seconds)..(recovered + POST_FAULT_SECONDS).min(seconds),
         }
     }
 }
 
-/// What a run has shown.
+/// The results of a run.
 pub struct Report {
-    /// Length of the part of the run that is counted, in seconds.
+    /// Length of the counted part of the run, in seconds.
     pub seconds: f64,
-    /// All API calls that are counted.
+    /// Counts of all API calls that started in the counted part.
     pub all: Counts,
-    /// The same by the product's name.
+    /// The same counts by product, with the product's name.
     pub products: Vec<(String, Counts)>,
-    /// By the second in which they were asked, from the beginning of the run on.
+    /// Counts by the second in which the API calls started, over the whole run.
     pub windows: Vec<Counts>,
-    /// Of fulfilled ones, in microseconds from the client's first attempt.
+    /// Latencies of fulfilled API calls, in microseconds from the client's first attempt.
     pub latency: Histogram<u64>,
-    /// Attempts of clients.
+    /// Number of clients' attempts.
     pub client_attempts: u64,
-    /// Attempts of nodes.
+    /// Number of nodes' attempts.
     pub attempts: u64,
-    /// Attempts of nodes that were sent to the origin.
+    /// Number of nodes' attempts that were sent to the origin.
     pub origin_attempts: u64,
-    /// Reads that a cache did not have the value for.
+    /// Reads whose value a cache did not have.
     pub misses: u64,
-    /// Reads that a cache had the value for.
+    /// Reads whose value a cache had.
     pub hits: u64,
     /// Connections that a server refused.
     pub refused_connections: u64,
-    /// Connections that a node asked for.
+    /// Connections that the nodes opened.
     pub handshakes: u64,
-    /// Of real clients: connections that had ended before they were used again.
+    /// Real clients only: idle connections that were closed before they were used again.
     pub ended_idle: u64,
-    /// Of real clients: connections that ended under an API call.
+    /// Real clients only: connections that were closed while an API call was open on them.
     pub closed_in_call: u64,
-    /// By second, the attempts that were sent to the origin.
+    /// Number of attempts sent to the origin, by second.
     pub origin_attempts_by_second: Vec<u64>,
-    /// By second and `Metric`.
+    /// Counts by second and `Metric`.
     pub metrics_by_second: Vec<[u64; METRICS]>,
     /// How often the origin was overloaded and stopped.
     pub origin_overloads: u64,
@@ -90,23 +92,23 @@
     pub cache_overloads: u64,
     /// The first violations of each rule.
     pub violations: Vec<Violation>,
-    /// How many violations there were.
+    /// Number of all violations.
     pub violation_count: u64,
-    /// API calls of clients that had not ended when the run did.
+    /// API calls of clients that were still open at the end of the run.
     pub open: u64,
-    /// All API calls of clients; equals `open` and `ended` together.
+    /// API calls that clients started; equals the sum of `open` and `ended`.
     pub started: u64,
     /// API calls of clients that ended.
     pub ended: u64,
-    /// A hash that any difference between two runs changes.
+    /// Hash over the events of the run, for comparing two runs.
     pub trace: u64,
-    /// From when on API calls are counted.
+    /// Start of the counted part of the run.
     pub(super) settled_at: Time,
-    pub(super) calm_periods: CalmPeriods,
+    pub(super) fault_free_periods: FaultFreePeriods,
 }
 
 impl Report {
-    /// An empty report on a scenario.
+    /// Creates an empty report on a scenario.
     pub fn new(scenario: &Scenario) -> Report {
         let seconds = scenario.seconds.ceil() as usize;
         let products = scenario.products.iter();
@@ -118,7 +120,7 @@
                 .collect(),
             windows: vec![Counts::default(); seconds],
             latency: Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_DIGITS)
-                .expect("bounds that a histogram takes"),
+                .expect("the bounds of the histogram are valid"),
             client_attempts: 0,
             attempts: 0,
             origin_attempts: 0,
@@ -139,16 +141,16 @@
             ended: 0,
             trace: FNV_OFFSET,
             settled_at: Time::from_ms(scenario.settle * 1000.0),
-            calm_periods: CalmPeriods::of(scenario, seconds),
+            fault_free_periods: FaultFreePeriods::from_scenario(scenario, seconds),
         }
     }
 
-    /// Adds something that happened to the trace.
-    pub fn mark(&mut self, now: Time, what: u64) {
-        self.trace = (self.trace ^ now.0 as u64 ^ what.rotate_left(32)).wrapping_mul(FNV_PRIME);
+    /// Adds an event to the trace hash.
+    pub fn add_to_trace(&mut self, now: Time, value: u64) {
+        self.trace = (self.trace ^ now.0 as u64 ^ value.rotate_left(32)).wrapping_mul(FNV_PRIME);
     }
 
-    /// Counts one event of this second.
+    /// Counts one event in the current second.
     pub fn count(&mut self, now: Time, metric: Metric) {
         if let Some(metrics) = self.metrics_by_second.get_mut(second_of(now)) {
             metrics[metric as usize] += 1;
@@ -163,7 +165,7 @@
         }
     }
 
-    /// A client's API call has ended.
+    /// Records the end of a client's API call.
     pub fn end(&mut self, ended: EndedCall) {
         self.ended += 1;
         if let Some(window) = self.windows.get_mut(second_of(ended.started_at)) {
--- a/crates/lab/src/sweep.rs
+++ b/crates/lab/src/sweep.rs
@@ -1,5 +1,5 @@
-//! Experiments: a scenario, what is varied in it, and seeds; played on all cores, printed as a table with means and
-//! confidence intervals over the seeds.
+//! Experiments: a scenario, varied keys and seeds. All combinations run in parallel; the table
+//! shows means over the seeds with their confidence intervals.
 mod mean;
 #[cfg(test)]
 mod tests;
@@ -14,23 +14,23 @@
 use crate::stats::{Report, FIGURES};
 pub use mean::{mean, Mean};
 
-/// An experiment, as a file describes it.
+/// An experiment, as an experiment file defines it.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sweep {
-    /// What its plots are called.
+    /// Title of its plots.
     #[serde(default)]
     pub title: String,
-    /// The scenario that all runs begin with.
+    /// The scenario that all runs are based on.
     #[serde(default)]
     pub scenario: toml::Table,
-    /// A run of each point and policy with each of them.
+    /// Seeds; each point runs with each policy and each seed.
     pub seeds: Vec<u64>,
     /// The policies that are compared.
     pub policies: Vec<String>,
-    /// The figures of the table.
+    /// The figures shown in the table.
     pub figures: Vec<String>,
-    /// What is varied: all combinations are played.
+    /// The varied keys; all combinations of their values are run.
     #[serde(default, rename = "vary")]
     pub varied: Vec<Vary>,
 }
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Vary {
-    /// Its parts with dots between them, such as `caches.count`.
+    /// Path of the key with dots between its parts, such as `caches.count`.
     pub key: String,
     /// The values in turn.
     pub values: Vec<toml::Value>,
@@ -48,34 +48,34 @@
 /// Most runs of one experiment.
 const MAX_RUNS: usize = 100_000;
 
-/// The runs of one point with one policy.
+/// Results of one policy at one point of the experiment, over all seeds.
 #[derive(Debug, Clone)]
 pub struct Row {
-    /// Values of what is varied, as they are written.
+    /// Values of the varied keys, as written in the file.
     pub point: Vec<String>,
     /// The policy of the runs.
     pub policy: String,
-    /// In the order of the experiment's figures.
+    /// Means in the order of the experiment's figures.
     pub means: Vec<Mean>,
-    /// Violations in all runs.
+    /// Number of violations in all runs.
     pub violation_count: u64,
-    /// The first violation of the runs.
+    /// The first violation found in the runs.
     pub first_violation: Option<String>,
 }
 
-/// A point of the experiment with a policy: a row of the table.
-struct Cell {
+/// A point of the experiment and a policy: the input of a row of the table.
+struct RowInput {
     point: Vec<toml::Value>,
     policy: String,
 }
 
-/// The first of the names that is not known.
+/// Returns the first name that is not in `known`.
 fn find_unknown<'a>(names: &'a [String], known: &[&str]) -> Option<&'a String> {
     names.iter().find(|name| !known.contains(&name.as_str()))
 }
 
 impl Sweep {
-    /// Reads an experiment and checks it, every point included.
+    /// Parses an experiment and checks it, including the scenario of every point.
     pub fn parse(text: &str) -> Result<Sweep, LabError> {
         let sweep: Sweep = parse_document(text)?;
         sweep.check()?;
@@ -105,20 +105,22 @@
         }
         for (index, vary) in self.varied.iter().enumerate() {
             if vary.values.is_empty() {
-                return Err(LabError(format!("vary[{index}].values: an empty sweep")));
+                return Err(LabError(format!(
+                    "vary[{index}].values: at least one is needed"
+                )));
             }
         }
         if self.run_count().is_none_or(|runs| runs > MAX_RUNS) {
-            return Err(LabError(format!("vary: over {MAX_RUNS} runs")));
+            return Err(LabError(format!("vary: more than {MAX_RUNS} runs")));
         }
-        // Guards against a point that can't be played and is only found after hours of runs.
+        // Without this, an invalid point would only be found after hours of runs.
         self.points().into_iter().try_for_each(|point| {
             self.scenario_at(&point, self.seeds[0], &self.policies[0])
                 .map(drop)
         })
     }
 
-    /// None if there are more than a number can hold.
+    /// Number of runs; none if it does not fit into a `usize`.
     fn run_count(&self) -> Option<usize> {
         let runs_per_point = self.seeds.len() * self.policies.len();
         let mut values = self.varied.iter().map(|vary| vary.values.len());
@@ -126,16 +128,16 @@
         points?.checked_mul(runs_per_point)
     }
 
-    /// All combinations of the values, the last key the fastest.
+    /// All combinations of the values; the last key varies fastest.
     fn points(&self) -> Vec<Vec<toml::Value>> {
         self.varied.iter().fold(vec![Vec::new()], |points, vary| {
-            let with = |point: &Vec<toml::Value>| {
+            let extended = |point: &Vec<toml::Value>| {
                 let point = point.clone();
                 vary.values
                     .iter()
                     .map(move |value| [&point[..], std::slice::from_ref(value)].concat())
             };
-            points.iter().flat_map(with).collect()
+            points.iter().flat_map(extended).collect()
         })
     }
 
@@ -147,8 +149,8 @@
     ) -> Result<Scenario, LabError> {
         let mut table = toml::Value::Table(self.scenario.clone());
         for (vary, value) in self.varied.iter().zip(point) {
-            put(&mut table, &vary.key, value.clone())
-                .map_err(|what| LabError(format!("vary: {}: {what}", vary.key)))?;
+            set_value(&mut table, &vary.key, value.clone())
+                .map_err(|error| LabError(format!("vary: {}: {error}", vary.key)))?;
         }
         let mut scenario = Scenario::of(table)?;
         scenario.seed = seed;
@@ -156,23 +158,23 @@
         Ok(scenario)
     }
 
-    /// Plays all runs; a row for each point and policy.
+    /// Runs the experiment; returns a row for each point and policy.
     pub fn play(&self) -> Result<Vec<Row>, LabError> {
-        let cells = self.points().into_iter().flat_map(|point| {
-            self.policies.iter().map(move |policy| Cell {
+        let inputs = self.points().into_iter().flat_map(|point| {
+            self.policies.iter().map(move |policy| RowInput {
                 point: point.clone(),
                 policy: policy.clone(),
             })
         });
-        let cells: Vec<_> = cells.collect();
-        cells.par_iter().map(|cell| self.play_cell(cell)).collect()
+        let inputs: Vec<_> = inputs.collect();
+        inputs.par_iter().map(|input| self.run_row(input)).collect()
     }
 
-    fn play_cell(&self, cell: &Cell) -> Result<Row, LabError> {
+    fn run_row(&self, input: &RowInput) -> Result<Row, LabError> {
         let reports = self
             .seeds
             .par_iter()
-            .map(|seed| run(&self.scenario_at(&cell.point, *seed, &cell.policy)?))
+            .map(|seed| run(&self.scenario_at(&input.point, *seed, &input.policy)?))
             .collect::<Result<Vec<Report>, LabError>>()?;
         let mean_of = |figure: &String| {
             let values = reports.iter().filter_map(|report| report.figure(figure));
@@ -180,8 +182,8 @@
         };
         let first_violation = reports.iter().find_map(|report| report.violations.first());
         Ok(Row {
-            point: cell.point.iter().map(toml::Value::to_string).collect(),
-            policy: cell.policy.clone(),
+            point: input.point.iter().map(toml::Value::to_string).collect(),
+            policy: input.policy.clone(),
             means: self.figures.iter().map(mean_of).collect(),
             violation_count: reports.iter().map(|report| report.violation_count).sum(),
             first_violation: first_violation.map(|violation| {
@@ -193,7 +195,7 @@
         })
     }
 
-    /// The rows as a table in Markdown.
+    /// Formats the rows as a Markdown table.
     pub fn table(&self, rows: &[Row]) -> String {
         let mut out = String::new();
         let keys = self.varied.iter().map(|vary| vary.key.as_str());
@@ -226,27 +228,27 @@
     }
 }
 
-/// Puts a value under a dotted key; `fault.0.share` reaches into a list.
-fn put(table: &mut toml::Value, key: &str, value: toml::Value) -> Result<(), &'static str> {
-    let mut place = table;
+/// Sets the value of a dotted key; in `fault.0.share`, `0` is the index in a list.
+fn set_value(table: &mut toml::Value, key: &str, value: toml::Value) -> Result<(), &'static str> {
+    let mut target = table;
     let parts: Vec<&str> = key.split('.').collect();
     for (position, part) in parts.iter().enumerate() {
-        let last = position + 1 == parts.len();
-        place = match place {
+        let is_last = position + 1 == parts.len();
+        target = match target {
             toml::Value::Table(fields) => {
                 let new = toml::Value::Table(toml::Table::new());
                 fields.entry(*part).or_insert(new)
             }
             toml::Value::Array(items) => {
-                let index: usize = part.parse().map_err(|_| "a place in a list is a number")?;
-                items.get_mut(index).ok_or("no such place in the list")?
+                let index: usize = part.parse().map_err(|_| "a list index must be a number")?;
+                items.get_mut(index).ok_or("list index out of range")?
             }
             _ => return Err("no such key"),
         };
-        if last {
-            *place = value;
+        if is_last {
+            *target = value;
             return Ok(());
         }
     }
-    Err("no key")
+    Err("empty key")
 }
--- a/crates/lab/src/sweep/mean.rs
+++ b/crates/lab/src/sweep/mean.rs
@@ -1,13 +1,13 @@
 //! Means over seeds with their confidence intervals.
 
-/// Mean over seeds, with its 95% interval and the extremes.
+/// Mean over seeds, with its 95% confidence interval and the extremes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Mean {
     /// The mean itself.
     pub value: f64,
-    /// Half the width of its 95% interval.
+    /// Half the width of its 95% confidence interval.
     pub half_width: f64,
-    /// The least value.
+    /// The lowest value.
     pub min: f64,
     /// The greatest value.
     pub max: f64,
@@ -19,10 +19,10 @@
     2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056,
     2.052, 2.048, 2.045, 2.042,
 ];
-/// The quantile of the normal law, for more degrees of freedom than the table has.
+/// Quantile of the normal distribution, used for more degrees of freedom than the table has.
 const NORMAL_QUANTILE: f64 = 1.96;
 
-/// The mean of these values; its interval has no width if there is one value only.
+/// Returns the mean of the values. With a single value, the interval has no width.
 pub fn mean(values: &[f64]) -> Mean {
     let count = values.len().max(1) as f64;
     let value = values.iter().sum::<f64>() / count;
