--- a/crates/lab/src/emulator/attempts.rs
+++ b/crates/lab/src/emulator/attempts.rs
@@ -138,19 +138,20 @@
             .report
             .add_to_trace(now, call ^ (outcome as u64) << 8);
         self.return_connection(node, server, ended.incarnation, outcome);
-        let open = self.nodes[node].node_state.calls.get(index);
-        let in_time = open.is_some_and(|open| !open.closed && now < open.deadline);
+        let open_call = self.nodes[node].node_state.calls.get(index);
+        let in_time =
+            open_call.is_some_and(|open_call| !open_call.closed && now < open_call.deadline);
         if outcome == Outcome::Success && in_time {
             self.with_router(node, |_, effects, _| {
                 effects.respond(index, CallOutcome::Fulfilled, CallEvent::Fulfilled, None)
             });
         }
-        let open = self.nodes[node].node_state.calls.get(index);
+        let open_call = self.nodes[node].node_state.calls.get(index);
         let result = AttemptResult {
             attempt,
             outcome,
             latency: now - ended.sent_at,
-            call_finished: open.is_none_or(|open| open.closed),
+            call_finished: open_call.is_none_or(|open_call| open_call.closed),
         };
         self.with_router(node, |router, effects, now| {
             router.outcome(now, index, result, effects)
@@ -195,15 +196,15 @@
         if node_state.node_incarnation != node_incarnation {
             return;
         }
-        let Some(record) = node_state
+        let Some(attempt_state) = node_state
             .open_call(call)
-            .and_then(|open: &mut NodeCall| open.attempts.get(attempt).copied())
-            .filter(|record| record.in_flight)
+            .and_then(|open_call: &mut NodeCall| open_call.attempts.get(attempt).copied())
+            .filter(|attempt_state| attempt_state.in_flight)
         else {
             return;
         };
-        let outcome = if record.written {
-            self.sim.send_cancellation(&record);
+        let outcome = if attempt_state.written {
+            self.sim.send_cancellation(&attempt_state);
             Outcome::TimedOut
         } else {
             Outcome::Unreachable
@@ -213,7 +214,7 @@
             node_incarnation: Some(node_incarnation),
             call,
             attempt,
-            server: record.server,
+            server: attempt_state.server,
             outcome,
         });
     }
--- a/crates/lab/src/emulator/clients.rs
+++ b/crates/lab/src/emulator/clients.rs
@@ -201,10 +201,10 @@
     }
 
     /// Opens an API call at its node, which from now on must send a final response.
-    fn accept_call(&mut self, node: usize, open: NodeCall) -> CallIndex {
-        let call = open.call;
-        let client_deadline = open.deadline + RESPONSE_MARGIN;
-        let product = self.sim.products[open.product];
+    fn accept_call(&mut self, node: usize, open_call: NodeCall) -> CallIndex {
+        let call = open_call.call;
+        let client_deadline = open_call.deadline + RESPONSE_MARGIN;
+        let product = self.sim.products[open_call.product];
         self.sim
             .checker
             .record_accepted(self.sim.now, call, node, product, client_deadline);
@@ -213,7 +213,7 @@
             Event::CallDeadline { call },
         );
         let node_state = &mut self.nodes[node].node_state;
-        let index = node_state.calls.insert(open);
+        let index = node_state.calls.insert(open_call);
         node_state.call_indices.insert(call, index);
         index
     }
@@ -231,7 +231,7 @@
         let elapsed = now - client.attempt_sent_at;
         let product = client.product;
         if let Some(call) = call {
-            // At its full client timeout, the client must have had a response.
+            // A client that waited for its full timeout must have had a response.
             if elapsed < self.sim.products[product].client_timeout {
                 self.sim.checker.record_client_disconnect(now, call);
             }
@@ -250,10 +250,10 @@
         if !node_state.up {
             return;
         }
-        let Some(open) = node_state.calls.get_mut(index) else {
+        let Some(open_call) = node_state.calls.get_mut(index) else {
             return;
         };
-        if !std::mem::replace(&mut open.closed, true) {
+        if !std::mem::replace(&mut open_call.closed, true) {
             self.with_router(node, |router, effects, now| {
                 router.withdrawn(now, index, effects)
             });
--- a/crates/lab/src/emulator/effects.rs
+++ b/crates/lab/src/emulator/effects.rs
@@ -16,7 +16,7 @@
 }
 
 impl Effects<'_> {
-    /// Sends an attempt's request if its API call still needs it. Like the real node, this is
+    /// Sends an attempt's request if its API call still needs it. As in the real node, this is
     /// checked when the request is about to be written.
     pub(super) fn send_request(
         &mut self,
@@ -31,8 +31,8 @@
         let attempt = self
             .node_state
             .open_call(job.call)
-            .filter(|open| !open.closed && now < open.deadline)
-            .and_then(|open| open.attempts.get_mut(job.attempt))
+            .filter(|open_call| !open_call.closed && now < open_call.deadline)
+            .and_then(|open_call| open_call.attempts.get_mut(job.attempt))
             .filter(|attempt| attempt.in_flight && usable);
         let Some(attempt) = attempt else {
             return self.skip_request(server, incarnation, &job);
@@ -90,20 +90,20 @@
         event: CallEvent,
         retry_after: Option<Span>,
     ) {
-        let Some(open) = self.node_state.calls.get_mut(index) else {
+        let Some(open_call) = self.node_state.calls.get_mut(index) else {
             return;
         };
         self.sim
             .checker
-            .record_response(self.sim.now, open.call, event);
+            .record_response(self.sim.now, open_call.call, event);
         self.sim
             .report
-            .add_to_trace(self.sim.now, open.call ^ outcome as u64);
-        if std::mem::replace(&mut open.closed, true) {
+            .add_to_trace(self.sim.now, open_call.call ^ outcome as u64);
+        if std::mem::replace(&mut open_call.closed, true) {
             return;
         }
         let response = Response {
-            attempt: open.client_attempt,
+            attempt: open_call.client_attempt,
             outcome,
             retry_after,
         };
@@ -136,26 +136,26 @@
     /// released.
     fn new_attempt(&mut self, index: CallIndex, server: usize) -> Option<Job> {
         let sim = &mut *self.sim;
-        let open = self.node_state.calls.get_mut(index)?;
+        let open_call = self.node_state.calls.get_mut(index)?;
         sim.report
-            .add_to_trace(sim.now, open.call ^ (server as u64) << 40);
+            .add_to_trace(sim.now, open_call.call ^ (server as u64) << 40);
         let mean_ms = if server == sim.origin() {
             sim.scenario.origin.work_ms
         } else {
-            sim.scenario.products[open.product].work_ms
+            sim.scenario.products[open_call.product].work_ms
         };
         let work = sim.draw_work(mean_ms);
         let job = Job {
             id: sim.allocate_id(),
             node: self.node_state.node,
-            call: open.call,
-            attempt: open.attempts.len(),
-            key: open.key,
-            write: open.write,
+            call: open_call.call,
+            attempt: open_call.attempts.len(),
+            key: open_call.key,
+            write: open_call.write,
             work,
-            caused_by_cold_miss: open.misses.iter().any(|miss| miss.cold),
+            caused_by_cold_miss: open_call.misses.iter().any(|miss| miss.cold),
         };
-        open.attempts.push(Attempt {
+        open_call.attempts.push(Attempt {
             server,
             incarnation: sim.servers[server].incarnation,
             job_id: job.id,
@@ -202,25 +202,25 @@
     }
 
     fn cancel(&mut self, call: CallIndex, attempt: usize) {
-        let Some(open) = self.node_state.calls.get_mut(call) else {
+        let Some(open_call) = self.node_state.calls.get_mut(call) else {
             return;
         };
-        let call_id = open.call;
-        let Some(record) = open
+        let call_id = open_call.call;
+        let Some(attempt_state) = open_call
             .attempts
             .get(attempt)
-            .filter(|record| record.in_flight)
+            .filter(|attempt_state| attempt_state.in_flight)
             .copied()
         else {
             return;
         };
-        let outcome = if record.written {
-            self.sim.send_cancellation(&record);
+        let outcome = if attempt_state.written {
+            self.sim.send_cancellation(&attempt_state);
             Outcome::Cancelled
         } else {
             Outcome::NotSent
         };
-        self.end_attempt(call_id, attempt, record.server, outcome);
+        self.end_attempt(call_id, attempt, attempt_state.server, outcome);
     }
 
     fn rate_limit(&mut self, call: CallIndex, retry_in: Option<Span>) {
@@ -237,8 +237,8 @@
     }
 
     fn release_call(&mut self, call: CallIndex) {
-        if let Some(open) = self.node_state.calls.remove(call) {
-            self.node_state.call_indices.remove(&open.call);
+        if let Some(open_call) = self.node_state.calls.remove(call) {
+            self.node_state.call_indices.remove(&open_call.call);
         }
     }
 
--- a/crates/lab/src/emulator/event.rs
+++ b/crates/lab/src/emulator/event.rs
@@ -75,7 +75,7 @@
     pub(super) attempt: usize,
 }
 
-/// The close of a connection whose attempt the node has cancelled.
+/// The close of the connection of an attempt that the node has given up.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Cancellation {
     pub(super) server: usize,
@@ -145,13 +145,13 @@
     FaultBegins(usize),
     /// The scenario's fault with this index ends.
     FaultEnds(usize),
-    /// A server has restarted, cold.
+    /// A stopped server restarts.
     ServerRestarted { server: usize },
     /// A drained server stops and is removed from the endpoint list.
     ServerRemoved { server: usize, incarnation: u64 },
     /// A node stops.
     NodeStopped { node: usize },
-    /// A node has restarted, with nothing but the endpoint list.
+    /// A stopped node restarts, with nothing but the endpoint list.
     NodeRestarted { node: usize },
     /// A request for a new connection reaches a server.
     Connect(PendingConnection),
--- a/crates/lab/src/emulator/nodes.rs
+++ b/crates/lab/src/emulator/nodes.rs
@@ -130,16 +130,20 @@
     /// client's.
     fn abort_call(&mut self, node: usize, call: u64) {
         self.sim.checker.exempt(call);
-        let Some(open) = self.nodes[node].node_state.open_call(call) else {
+        let Some(open_call) = self.nodes[node].node_state.open_call(call) else {
             return;
         };
-        for attempt in open.attempts.iter().filter(|attempt| attempt.in_flight) {
+        for attempt in open_call
+            .attempts
+            .iter()
+            .filter(|attempt| attempt.in_flight)
+        {
             self.sim.send_cancellation(attempt);
         }
-        if !open.closed {
+        if !open_call.closed {
             let delay = self.sim.network_delay();
             let response = Response {
-                attempt: open.client_attempt,
+                attempt: open_call.client_attempt,
                 outcome: CallOutcome::Errored,
                 retry_after: None,
             };
--- a/crates/lab/src/emulator/state.rs
+++ b/crates/lab/src/emulator/state.rs
@@ -153,6 +153,7 @@
 pub(super) struct Simulation {
     pub(super) scenario: Scenario,
     pub(super) now: Time,
+    /// End of the run: clients make no API calls or retries from then on.
     pub(super) end: Time,
     pub(super) events: EventQueue<Event>,
     pub(super) rng: Pcg,
@@ -177,6 +178,7 @@
     /// Factor of the network's delays, set by a fault.
     pub(super) network_delay_factor: f64,
     pub(super) last_id: u64,
+    /// Number of keys drawn so far that are requested only once.
     pub(super) scanned_keys: u64,
     pub(super) checker: RuleChecker,
     pub(super) report: Report,
--- a/crates/lab/src/gossip.rs
+++ b/crates/lab/src/gossip.rs
@@ -162,9 +162,9 @@
 fn measure_traffic(network: &mut Network) -> Traffic {
     let sent_before = network.links.sent;
     let bytes_before = network.links.sent_bytes;
-    let started = network.now;
+    let started_at = network.now;
     network.play(TRAFFIC_WINDOW);
-    let seconds = (network.now - started).seconds();
+    let seconds = (network.now - started_at).seconds();
     let per_second = |count: u64| count as f64 / network.len() as f64 / seconds;
     Traffic {
         datagrams_per_second: per_second(network.links.sent - sent_before),
@@ -209,11 +209,11 @@
 /// Runs the network until all running nodes have removed a node that has just crashed; none if they
 /// don't within `DETECTION_TIMEOUT`.
 fn detect_crash(network: &mut Network, node: usize) -> Option<Detection> {
-    let crashed = network.now;
+    let crashed_at = network.now;
     let mut first_suspicion = None;
-    while network.now - crashed < DETECTION_TIMEOUT {
+    while network.now - crashed_at < DETECTION_TIMEOUT {
         network.play(DETECTION_STEP);
-        let elapsed = (network.now - crashed).seconds();
+        let elapsed = (network.now - crashed_at).seconds();
         let states: Vec<MemberState> = (0..network.len())
             .filter(|observer| *observer != node)
             .filter_map(|observer| network.state(node, observer))
--- a/crates/lab/src/stats/report.rs
+++ b/crates/lab/src/stats/report.rs
@@ -76,7 +76,7 @@
     pub hits: u64,
     /// Connections that a server refused.
     pub refused_connections: u64,
-    /// Connections that the nodes opened.
+    /// Connections that the nodes requested, including refused ones.
     pub handshakes: u64,
     /// Real clients only: idle connections that were closed before they were used again.
     pub ended_idle: u64,
