--- a/crates/node/tests/soak/clients.rs
+++ b/crates/node/tests/soak/clients.rs
@@ -1,4 +1,5 @@
-//! Clients that use their connections for as long as these are open, and note what became of each request.
+//! Clients that use their connections for as long as these are open, and note what became of each
+//! request.
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, Ordering};
 
@@ -15,7 +16,8 @@
     Pipelining,
     /// Closes its connection in the middle of a request and connects again.
     Abandoning,
-    /// Sends PING and is idle until the node ends the connection, then sends a request all the same.
+    /// Sends PING and is idle until the node ends the connection, then sends a request all the
+    /// same.
     IdleUntilClosed,
 }
 
@@ -61,9 +63,9 @@
 #[derive(Debug)]
 pub enum RequestOutcome {
     /// The node answered.
-    Answered { at: Instant, answer: String },
+    Responded { at: Instant, response: String },
     /// The connection ended before its answer.
-    Unanswered { ended_at: Instant },
+    NoResponse { ended_at: Instant },
     /// The client closed the connection.
     Abandoned { at: Instant },
 }
@@ -78,8 +80,8 @@
     pub client_timeout: Duration,
     /// Whether its client always has another one open on the connection.
     pub is_pipelined: bool,
-    /// For how long the client's thread, ready to run, has waited for a processor: until the request was sent, and until
-    /// its outcome was known.
+    /// For how long the client's thread, ready to run, has waited for a processor: until the
+    /// request was sent, and until its outcome was known.
     pub processor_waits: [Duration; 2],
     pub outcome: RequestOutcome,
 }
@@ -127,7 +129,7 @@
         let _ = stream.set_nodelay(true);
         stream
             .set_read_timeout(Some(EVENT_TIMEOUT))
-            .expect("a time limit");
+            .expect("a timeout");
         let mut connection = Client(BufReader::new(stream));
         match behavior {
             ClientBehavior::Sequential => client.keep_open(&mut connection, 1),
@@ -164,7 +166,7 @@
             client_timeout: Duration::from_millis(self.client_timeout_ms),
             is_pipelined: self.is_pipelining,
             processor_waits: [processor_wait(); 2],
-            outcome: RequestOutcome::Unanswered { ended_at: sent_at },
+            outcome: RequestOutcome::NoResponse { ended_at: sent_at },
         })
     }
 
@@ -178,11 +180,11 @@
                     None => break,
                 }
             }
-            let answer = connection.answer();
+            let response = connection.response();
             let now = Instant::now();
-            if ["closed", "cut"].contains(&answer.as_str()) {
+            if ["closed", "cut"].contains(&response.as_str()) {
                 let unanswered = |request: Request| Request {
-                    outcome: RequestOutcome::Unanswered { ended_at: now },
+                    outcome: RequestOutcome::NoResponse { ended_at: now },
                     ..request
                 };
                 self.requests.extend(waiting.into_iter().map(unanswered));
@@ -194,7 +196,7 @@
                     processor_waits[1] = processor_wait();
                 }
                 self.requests.push(Request {
-                    outcome: RequestOutcome::Answered { at: now, answer },
+                    outcome: RequestOutcome::Responded { at: now, response },
                     processor_waits,
                     ..request
                 });
@@ -210,7 +212,7 @@
         let client_timeout_us = 1000.0 * self.client_timeout_ms as f64;
         let wait_us = self.rng.unit() * client_timeout_us;
         std::thread::sleep(Duration::from_micros(wait_us as u64));
-        send_end(connection.0.get_ref());
+        shutdown_write(connection.0.get_ref());
         self.requests.push(Request {
             outcome: RequestOutcome::Abandoned { at: Instant::now() },
             ..request
@@ -223,7 +225,7 @@
             return;
         }
         // The end, which the client has not heeded yet as its next request goes out.
-        let _ = connection.answer();
+        let _ = connection.response();
         let _ = self.send(connection);
         if self.stop.load(Ordering::Relaxed) {
             return;
--- a/crates/node/tests/soak/evidence.rs
+++ b/crates/node/tests/soak/evidence.rs
@@ -3,7 +3,8 @@
 
 /// What the system and the node itself say of a round.
 pub struct Evidence {
-    /// The node's state, processor time in ticks and waits for a processor, shortly before the kill.
+    /// The node's state, processor time in ticks and waits for a processor, shortly before the
+    /// kill.
     pub node_process: String,
     /// Of all processors in the round, ticks that went to other machines of the host.
     pub stolen_ticks: u64,
@@ -33,7 +34,8 @@
     stolen.and_then(|ticks| ticks.parse().ok()).unwrap_or(0)
 }
 
-/// A process's state, its ticks as user and in the system, and its time on and waiting for a processor.
+/// A process's state, its ticks as user and in the system, and its time on and waiting for a
+/// processor.
 pub fn describe_process(id: u32) -> String {
     let read =
         |file: &str| std::fs::read_to_string(format!("/proc/{id}/{file}")).unwrap_or_default();
--- a/crates/node/tests/soak/main.rs
+++ b/crates/node/tests/soak/main.rs
@@ -1,5 +1,6 @@
-//! Nodes that are told to end under load, by signals in series, and killed as soon as the operators' page allows it. Their
-//! clients use open connections until the kill. `SOAK_SEEDS` (a count, or `from..to`) plays other seeds than the few of CI.
+//! Nodes that are told to end under load, by signals in series, and killed as soon as the
+//! operators' page allows it. Their clients use open connections until the kill. `SOAK_SEEDS` (a
+//! count, or `from..to`) plays other seeds than the few of CI.
 mod clients;
 #[allow(dead_code, unused_imports)]
 #[path = "../sockets/common.rs"]
@@ -27,7 +28,8 @@
 ];
 /// Rounds that are played at once.
 const PARALLEL_ROUNDS: u64 = 3;
-/// How often a round is played on a machine that stalls its processes for longer than the page allows, until it is left.
+/// How often a round is played on a machine that stalls its processes for longer than the page
+/// allows, until it is left.
 const MAX_PLAYS: usize = 4;
 
 fn seeds() -> Vec<u64> {
--- a/crates/node/tests/soak/round.rs
+++ b/crates/node/tests/soak/round.rs
@@ -35,7 +35,8 @@
     machine_lateness: Duration,
 }
 
-/// What happens to the node after SIGTERM. Of two at the same time, the one that stands first here comes first.
+/// What happens to the node after SIGTERM. Of two at the same time, the one that stands first here
+/// comes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Action {
     Interrupt,
@@ -61,8 +62,8 @@
         .iter()
         .map(|server| (server.id, server.addr, "in_service"))
         .collect();
-    let known = list(true, 1, &known);
-    let mut node = Node::with(&plan.config(&known, plan.client_timeout_ms), DESCRIPTORS);
+    let known = endpoint_list(true, 1, &known);
+    let mut node = Node::with_config(&plan.config(&known, plan.client_timeout_ms), DESCRIPTORS);
     let measured = play_under_load(plan, &mut node, &known, &hang);
     if measured.machine_lateness > MAX_LATENESS {
         return RoundResult::MachineStalled;
@@ -138,7 +139,8 @@
     longest
 }
 
-/// Sends the signals of the plan, each at its time; returns when SIGKILL is due, with the time of SIGTERM.
+/// Sends the signals of the plan, each at its time; returns when SIGKILL is due, with the time of
+/// SIGTERM.
 fn send_signals(plan: &Plan, node: &mut Node, known: &str, hang: &AtomicBool) -> Instant {
     let ms = Duration::from_millis;
     let terminate_at = Instant::now() + ms(plan.terminate_at_ms);
@@ -207,7 +209,7 @@
 /// Puts the new settings in place, if the plan has any, and sends SIGHUP.
 fn reload(plan: &Plan, node: &Node, known: &str) {
     if let Some(client_timeout_ms) = plan.new_client_timeout_ms {
-        std::fs::write(&node.file, plan.config(known, client_timeout_ms)).expect("written");
+        std::fs::write(&node.config_path, plan.config(known, client_timeout_ms)).expect("written");
         node.signal("-HUP");
     }
 }
--- a/crates/node/tests/soak/rule_check.rs
+++ b/crates/node/tests/soak/rule_check.rs
@@ -4,16 +4,19 @@
 use super::clients::{Request, RequestOutcome};
 use super::servers::{Arrival, Arrivals};
 
-/// A request that the node has not read may cross its close; one that had so long to be read has been, or should have.
+/// A request that the node has not read may cross its close; one that had so long to be read has
+/// been, or should have.
 const MAX_CROSSING: Duration = Duration::from_millis(60);
 /// An answer so long after its time only earns nothing.
 const MAX_LATENESS: Duration = Duration::from_millis(500);
-/// An attempt may begin so long after its client's close; with it goes how late a server's thread may note it.
+/// An attempt may begin so long after its client's close; with it goes how late a server's thread
+/// may note it.
 const MAX_ATTEMPT_AFTER_CLOSE: Duration = Duration::from_millis(100 + 25);
 
-/// The faults of a round. `stalled`: for how long the process was in all. A connection on which there is always a command
-/// open has to be closed with one on its way, and where the process is stalled between its last read and the close that
-/// one crosses it for as long; a client with one command at a time is closed between two.
+/// The faults of a round. `stalled`: for how long the process was in all. A connection on which
+/// there is always a command open has to be closed with one on its way, and where the process is
+/// stalled between its last read and the close that one crosses it for as long; a client with one
+/// command at a time is closed between two.
 pub fn faults(
     requests: &[Request],
     arrivals: &Arrivals,
@@ -25,14 +28,14 @@
         let reached = arrivals.of(&request.id);
         let mut found = Vec::new();
         let fault = match &request.outcome {
-            RequestOutcome::Unanswered { ended_at } => {
+            RequestOutcome::NoResponse { ended_at } => {
                 unanswered_fault(request, &reached, *ended_at, stalled)
             }
             RequestOutcome::Abandoned { at } => abandoned_fault(request, &reached, *at),
-            RequestOutcome::Answered { at, answer } => {
+            RequestOutcome::Responded { at, response } => {
                 let late = late_answer_fault(request, *at);
                 found.extend(late);
-                wrong_answer_fault(request, answer)
+                wrong_answer_fault(request, response)
             }
         };
         found.extend(fault);
@@ -113,10 +116,10 @@
 }
 
 /// Servers answer a request with its own id.
-fn wrong_answer_fault(request: &Request, answer: &str) -> Option<String> {
-    let is_value = !answer.starts_with('-');
-    let is_wrong = is_value && answer != request.id;
-    is_wrong.then(|| format!("misrouted: {} was answered {answer:?}", request.id))
+fn wrong_answer_fault(request: &Request, response: &str) -> Option<String> {
+    let is_value = !response.starts_with('-');
+    let is_wrong = is_value && response != request.id;
+    is_wrong.then(|| format!("misrouted: {} was answered {response:?}", request.id))
 }
 
 fn duplicate_fault(request: &Request, reached: &[Arrival]) -> Option<String> {
--- a/crates/node/tests/soak/servers.rs
+++ b/crates/node/tests/soak/servers.rs
@@ -1,4 +1,5 @@
-//! Servers that answer, are late, reject, fail or hang, and note each command that reaches them whole.
+//! Servers that answer, are late, reject, fail or hang, and note each command that reaches them
+//! whole.
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
 
@@ -75,7 +76,7 @@
 
 /// What a server does with a command.
 struct Reaction {
-    deed: ServerAction,
+    action: ServerAction,
     is_not_executed: bool,
 }
 
@@ -95,7 +96,7 @@
                 react(id, verb, request_id, &mut rng, &hang)
             };
             arrivals.note(request_id, id, reaction.is_not_executed);
-            reaction.deed
+            reaction.action
         };
         let addr = server(id, channel().0, script);
         Server { id, addr }
@@ -105,13 +106,13 @@
 
 fn answer_at_once(server: &str, request_id: &str, rng: &mut Pcg, hang: &AtomicBool) -> Reaction {
     let hangs = hang.load(Ordering::Relaxed) && rng.unit() < HANGING_SHARE;
-    let deed = match server {
-        _ if hangs => ServerAction::Hold,
-        ORIGIN => ServerAction::Say(http_value(request_id)),
-        _ => ServerAction::Say(found(request_id)),
+    let action = match server {
+        _ if hangs => ServerAction::Ignore,
+        ORIGIN => ServerAction::Respond(http_value(request_id)),
+        _ => ServerAction::Respond(hit_bytes(request_id)),
     };
     Reaction {
-        deed,
+        action,
         is_not_executed: false,
     }
 }
@@ -121,24 +122,33 @@
     let delay = Duration::from_micros((rng.unit() * MAX_ANSWER_DELAY_US) as u64);
     let hangs = hang.load(Ordering::Relaxed) && rng.unit() < HANGING_SHARE;
     let is_origin = server == ORIGIN;
-    let (deed, is_not_executed) = match draw {
-        _ if hangs => (ServerAction::Hold, false),
-        draw if draw < SILENT_BELOW => (ServerAction::Hold, false),
+    let (action, is_not_executed) = match draw {
+        _ if hangs => (ServerAction::Ignore, false),
+        draw if draw < SILENT_BELOW => (ServerAction::Ignore, false),
         draw if draw < CLOSE_BELOW => (ServerAction::Close, false),
         draw if draw < REJECT_BELOW && is_origin => {
-            (ServerAction::SayLater(delay, unavailable()), true)
+            (ServerAction::RespondAfter(delay, unavailable()), true)
         }
-        draw if draw < REJECT_BELOW => (ServerAction::SayLater(delay, b"-BUSY\r\n".to_vec()), true),
+        draw if draw < REJECT_BELOW => (
+            ServerAction::RespondAfter(delay, b"-BUSY\r\n".to_vec()),
+            true,
+        ),
         draw if draw < FAIL_BELOW && !is_origin => (
-            ServerAction::SayLater(delay, b"-ERR failed\r\n".to_vec()),
+            ServerAction::RespondAfter(delay, b"-ERR failed\r\n".to_vec()),
             false,
         ),
         draw if draw < MISS_BELOW && verb == "OBJ.GET" => (miss(), true),
-        _ if is_origin => (ServerAction::SayLater(delay, http_value(request_id)), false),
-        _ => (ServerAction::SayLater(delay, found(request_id)), false),
+        _ if is_origin => (
+            ServerAction::RespondAfter(delay, http_value(request_id)),
+            false,
+        ),
+        _ => (
+            ServerAction::RespondAfter(delay, hit_bytes(request_id)),
+            false,
+        ),
     };
     Reaction {
-        deed,
+        action,
         is_not_executed,
     }
 }
--- a/crates/node/tests/soak/stall_sweep.rs
+++ b/crates/node/tests/soak/stall_sweep.rs
@@ -8,10 +8,11 @@
 const STEP_MS: u64 = 12;
 /// Client timeouts, in milliseconds.
 const CLIENT_TIMEOUTS_MS: [u64; 2] = [100, 300];
-/// Lengths of a stall, in milliseconds: longer than the node waits for a pause of its client, and nearly the longest that
-/// a process may be stalled for.
+/// Lengths of a stall, in milliseconds: longer than the node waits for a pause of its client, and
+/// nearly the longest that a process may be stalled for.
 const STALL_LENGTHS_MS: [u64; 2] = [105, 145];
-/// When the shutdown ends, in milliseconds beyond the client timeout: no later moment is of interest.
+/// When the shutdown ends, in milliseconds beyond the client timeout: no later moment is of
+/// interest.
 const ENDS_AFTER_MS: u64 = 540;
 
 fn plans(step_ms: u64) -> Vec<Plan> {
@@ -32,7 +33,8 @@
     plans
 }
 
-// Guards against requests that lie unread through a stall and are closed over by a node that has not looked again.
+// Guards against requests that lie unread through a stall and are closed over by a node that has
+// not looked again.
 #[test]
 fn no_request_is_lost_whenever_a_shutdown_is_stalled() {
     let step_ms = std::env::var(STEP_VARIABLE).map_or(STEP_MS, |text| {
--- a/crates/node/tests/sockets/admin.rs
+++ b/crates/node/tests/sockets/admin.rs
@@ -1,68 +1,68 @@
-//! The operators' calls: readiness, counters, taking a node out of service.
+//! The admin API: readiness, counters, taking a node out of service and back.
 use super::common::*;
 
 #[test]
-fn operators_read_figures_send_clients_away_and_call_them_back() {
-    let addr = free();
-    let (mut node, _seen) = Setup::new()
+fn admin_api_reports_counters_and_changes_service() {
+    let addr = free_address();
+    let (mut node, _reports) = Setup::new()
         .server("a", |_| hit("v"))
         .keys(&format!(r#""ops":"{addr}","#))
         .start();
     let mut client = node.client();
-    assert_eq!(client.ask(&["OBJ.GET", "k1", "id1", FACTS]), "v");
-    // Callers with half a call, more than are kept, hold up nobody.
+    assert_eq!(client.ask(&["OBJ.GET", "k1", "id1", ATTRIBUTES]), "v");
+    // Connections with half a request, more than the admin API keeps open, delay no other one.
     let half: Vec<_> = (0..40)
         .map(|_| TcpStream::connect(addr).expect("a connection"))
         .collect();
     half.iter()
         .for_each(|mut stream| drop(stream.write_all(b"GET /control/re")));
-    let mut told = String::new();
+    let mut results = String::new();
     for call in [
         "GET /control/ready",
         "GET /control/counters",
         "POST /control/ready",
         "GET /nothing",
     ] {
-        told += &format!("{call}: {}\n", operate(addr, call));
+        results += &format!("{call}: {}\n", admin_call(addr, call));
     }
-    for broken in [
+    for malformed in [
         &b"\0\xff\r\n\r\n"[..],
         &[b"GET /".to_vec(), vec![b'x'; 20_000]].concat(),
     ] {
-        let said = ops(addr, broken);
-        told += &format!(
+        let response = admin_exchange(addr, malformed);
+        results += &format!(
             "{}: {}\n",
-            broken.len(),
-            said.lines().next().unwrap_or_default()
+            malformed.len(),
+            response.lines().next().unwrap_or_default()
         );
     }
-    told += &format!(
+    results += &format!(
         "POST /control/out-of-service: {}\n",
-        operate(addr, "POST /control/out-of-service")
+        admin_call(addr, "POST /control/out-of-service")
     );
-    told += &format!(
+    results += &format!(
         "GET /control/ready: {}\n",
-        operate(addr, "GET /control/ready")
+        admin_call(addr, "GET /control/ready")
     );
-    let mut front = node.client();
-    told += &format!("PING: {}\n", front.ask(&["PING"]));
-    // What still comes is served; a kept connection is closed between answers.
-    told += &format!(
+    let mut new_client = node.client();
+    results += &format!("PING: {}\n", new_client.ask(&["PING"]));
+    // Calls that still arrive are served; an open connection is closed between two responses.
+    results += &format!(
         "OBJ.GET: {}\n",
-        client.ask(&["OBJ.GET", "k1", "id2", FACTS])
+        client.ask(&["OBJ.GET", "k1", "id2", ATTRIBUTES])
     );
-    told += &format!("then: {}\n", client.answer());
-    told += &format!(
+    results += &format!("then: {}\n", client.response());
+    results += &format!(
         "POST /control/in-service: {}\n",
-        operate(addr, "POST /control/in-service")
+        admin_call(addr, "POST /control/in-service")
     );
-    told += &format!(
+    results += &format!(
         "GET /control/ready: {}\n",
-        operate(addr, "GET /control/ready")
+        admin_call(addr, "GET /control/ready")
     );
-    told += &format!("PING: {}\n", node.client().ask(&["PING"]));
+    results += &format!("PING: {}\n", node.client().ask(&["PING"]));
     drop(half);
-    node.says("operators: in service");
+    node.await_log("operators: in service");
     expect_test::expect![[r#"
         GET /control/ready: 200 OK: ready
         GET /control/counters: 200 OK: {"responses":{"book":{"ok":0,"shed":0,"errors":0},"view":{"ok":1,"shed":0,"errors":0}},"tries":1,"active":0,"pool_size":1,"pool_ejected":0,"config_applied":0,"config_rejected":0}
@@ -79,81 +79,82 @@
         GET /control/ready: 200 OK: ready
         PING: +PONG
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&results);
 }
 
-/// A client that sends its next command before it has the last answer is never idle. Operators leave 4 s from when they send
-/// clients away, and no connection may then have a command of the last 2 s.
+/// A client that sends its next command before it has the response to the last one is never idle.
+/// Operators wait 4 s after they take a node out of service, and by then no connection may carry a
+/// command of the last 2 s.
 #[test]
-fn a_client_that_is_never_idle_is_sent_away_in_time() {
-    let addr = free();
-    let (node, _seen) = Setup::new()
+fn busy_client_is_closed_within_4_s_of_out_of_service() {
+    let addr = free_address();
+    let (node, _reports) = Setup::new()
         .server("a", |_| {
-            ServerAction::SayLater(Duration::from_millis(30), found("v"))
+            ServerAction::RespondAfter(Duration::from_millis(30), hit_bytes("v"))
         })
         .keys(&format!(r#""ops":"{addr}","#))
         .start();
     let mut client = node.client();
-    let ask = |i: usize| command(&["OBJ.GET", &format!("k{i}"), &format!("id{i}"), FACTS]);
-    (0..3).for_each(|i| client.send(&ask(i)));
+    let call = |i: usize| command(&["OBJ.GET", &format!("k{i}"), &format!("id{i}"), ATTRIBUTES]);
+    (0..3).for_each(|i| client.send(&call(i)));
     assert_eq!(
-        operate(addr, "POST /control/out-of-service"),
+        admin_call(addr, "POST /control/out-of-service"),
         "200 OK: out of service"
     );
-    let (begun, mut sent) = (Instant::now(), 3);
+    let (started_at, mut sent_count) = (Instant::now(), 3);
     let last = loop {
-        let answer = client.answer();
-        if answer != "v" {
-            break answer;
+        let response = client.response();
+        if response != "v" {
+            break response;
         }
         assert!(
-            begun.elapsed() < Duration::from_secs(4),
+            started_at.elapsed() < Duration::from_secs(4),
             "still served after 4 s"
         );
-        // One that crosses the close goes elsewhere.
-        let _ = client.0.get_mut().write_all(&ask(sent));
-        sent += 1;
+        // A client sends a command that crosses the close to another node.
+        let _ = client.0.get_mut().write_all(&call(sent_count));
+        sent_count += 1;
     };
     assert_eq!(last, "closed");
     assert!(
-        begun.elapsed() < Duration::from_secs(4),
+        started_at.elapsed() < Duration::from_secs(4),
         "closed after {:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
 }
 
 #[test]
-fn figures_are_told_and_true_in_a_flood() {
-    let addr = free();
-    let (node, _seen) = Setup::new()
+fn counters_are_correct_under_load() {
+    let addr = free_address();
+    let (node, _reports) = Setup::new()
         .server("a", |_| hit("v"))
         .keys(&format!(r#""ops":"{addr}","#))
         .start();
-    const EACH: usize = 300;
+    const CALLS_PER_CLIENT: usize = 300;
     std::thread::scope(|scope| {
         for i in 0..8 {
             let node = &node;
             scope.spawn(move || {
                 let mut client = node.client();
-                for j in 0..EACH {
+                for j in 0..CALLS_PER_CLIENT {
                     assert_eq!(
-                        client.ask(&["OBJ.GET", "k1", &format!("id{i}-{j}"), FACTS]),
+                        client.ask(&["OBJ.GET", "k1", &format!("id{i}-{j}"), ATTRIBUTES]),
                         "v"
                     );
                 }
             });
         }
         for _ in 0..20 {
-            assert!(operate(addr, "GET /control/counters").starts_with("200 OK"));
+            assert!(admin_call(addr, "GET /control/counters").starts_with("200 OK"));
         }
     });
-    let told = operate(addr, "GET /control/counters");
-    let wanted = format!(
+    let counters = admin_call(addr, "GET /control/counters");
+    let expected = format!(
         r#""view":{{"ok":{},"shed":0,"errors":0}}}},"tries":"#,
-        8 * EACH
+        8 * CALLS_PER_CLIENT
     );
     assert!(
-        told.contains(&wanted) && told.contains(r#""active":0"#),
-        "{told}"
+        counters.contains(&expected) && counters.contains(r#""active":0"#),
+        "{counters}"
     );
 }
--- a/crates/node/tests/sockets/clients.rs
+++ b/crates/node/tests/sockets/clients.rs
@@ -1,130 +1,138 @@
-//! Clients that are not as they should be, or leave, and descriptors that run short.
+//! Clients that send malformed commands, are slow or disconnect, and limits of sockets and
+//! descriptors.
 use super::common::*;
 
 #[test]
-fn garbage_is_told_and_others_are_served_on() {
-    let (node, _seen) = Setup::new().server("a", |_| hit("v")).start();
+fn malformed_bytes_get_an_error_and_a_close() {
+    let (node, _reports) = Setup::new().server("a", |_| hit("v")).start();
     let mut good = node.client();
-    for garbage in [
+    for malformed in [
         &b"\0\xff\xfe"[..],
         b"GET / HTTP/1.1\r\n\r\n",
         b"*3\r\n$-1\r\n",
         b"*99999999999\r\n",
     ] {
         let mut bad = node.client();
-        bad.send(garbage);
-        assert!(bad.answer().starts_with("-ERR"), "{garbage:?}");
-        assert_eq!(bad.answer(), "closed");
-        assert_eq!(good.ask(&["OBJ.GET", "k", "id", FACTS]), "v");
+        bad.send(malformed);
+        assert!(bad.response().starts_with("-ERR"), "{malformed:?}");
+        assert_eq!(bad.response(), "closed");
+        assert_eq!(good.ask(&["OBJ.GET", "k", "id", ATTRIBUTES]), "v");
     }
 }
 
 #[test]
-fn a_client_that_says_nothing_or_half_a_command_is_let_go() {
+fn silent_client_or_half_command_is_closed() {
     let node = Node::start(&[], "");
     let (mut silent, mut half) = (node.client(), node.client());
     half.send(b"*4\r\n$7\r\nOBJ.");
-    assert_eq!(silent.answer(), "closed");
+    assert_eq!(silent.response(), "closed");
     assert_eq!(
-        half.answer(),
+        half.response(),
         "-ERR Protocol error: the command did not come whole"
     );
-    assert_eq!(half.answer(), "closed");
+    assert_eq!(half.response(), "closed");
 }
 
 #[test]
-fn a_client_that_takes_no_answers_is_read_no_further() {
+fn node_stops_reading_from_a_client_that_does_not_read() {
     let node = Node::start(&[], "");
     let mut client = node.client();
     client
         .0
         .get_mut()
         .set_write_timeout(Some(Duration::from_secs(1)))
-        .expect("a time limit");
+        .expect("a timeout");
     let pings = command(&["PING"]).repeat(4096);
-    // More than the sockets' own buffers take.
+    // More than the socket buffers hold.
     let written = (0..500).all(|_| client.0.get_mut().write_all(&pings).is_ok());
-    assert!(!written, "all was read, and its answers kept");
+    assert!(
+        !written,
+        "all commands were read and their responses buffered"
+    );
 }
 
 #[test]
-fn a_client_that_is_still_sending_reads_why_it_is_turned_away() {
+fn client_reads_the_error_while_it_is_still_sending() {
     let node = Node::start(&[], "");
     let mut client = node.client();
     client
         .send(b"*5\r\n$7\r\nOBJ.SET\r\n$1\r\nk\r\n$2\r\nid\r\n$10\r\nc=book,d=9\r\n$60000000\r\n");
     assert_eq!(
-        client.answer(),
+        client.response(),
         "-ERR Protocol error: commands are arrays of bulk strings"
     );
-    // With nobody to read it, the second piece would find the connection reset.
+    // If the node did not go on reading, the second write would fail with a reset.
     (0..16).for_each(|_| client.send(&[b'x'; 64 * 1024]));
-    assert_eq!(client.answer(), "closed");
+    assert_eq!(client.response(), "closed");
 }
 
 #[test]
-fn a_flood_of_commands_that_can_not_be_done_ends_in_a_close_and_others_are_served_on() {
-    let (node, _seen) = Setup::new().server("a", |_| hit("v")).start();
+fn client_with_too_many_invalid_commands_is_closed() {
+    let (node, _reports) = Setup::new().server("a", |_| hit("v")).start();
     let (mut bad, mut good) = (node.client(), node.client());
-    let wrong = [
+    let invalid_calls = [
         ["k", "id", "c=none,d=9"],
         ["k", "id", "c=view,d=soon"],
-        ["k", "", FACTS],
+        ["k", "", ATTRIBUTES],
         ["k", "id", "c=view"],
     ];
-    for words in wrong.iter().cycle().take(400) {
+    for words in invalid_calls.iter().cycle().take(400) {
         bad.send(&command(&["OBJ.GET", words[0], words[1], words[2]]));
     }
-    assert_eq!(good.ask(&["OBJ.GET", "k", "id", FACTS]), "v");
-    let answers: Vec<_> = std::iter::repeat_with(|| bad.answer())
-        .take_while(|answer| answer != "closed")
+    assert_eq!(good.ask(&["OBJ.GET", "k", "id", ATTRIBUTES]), "v");
+    let responses: Vec<_> = std::iter::repeat_with(|| bad.response())
+        .take_while(|response| response != "closed")
         .collect();
     assert!(
-        answers.iter().all(|answer| answer.starts_with("-ERR")) && answers.len() < 40,
-        "{answers:?}"
+        responses
+            .iter()
+            .all(|response| response.starts_with("-ERR"))
+            && responses.len() < 40,
+        "{responses:?}"
     );
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_attempt_with_it() {
-    let (node, seen) = Setup::new().server("a", |_| ServerAction::Hold).start();
+fn attempt_is_cancelled_when_its_client_disconnects() {
+    let (node, reports) = Setup::new().server("a", |_| ServerAction::Ignore).start();
     let mut client = node.client();
-    client.send(&command(&["OBJ.GET", "k", "id", FACTS]));
-    assert_eq!(next(&seen), "a: OBJ.GET k id");
+    client.send(&command(&["OBJ.GET", "k", "id", ATTRIBUTES]));
+    assert_eq!(next_report(&reports), "a: OBJ.GET k id");
     drop(client);
-    assert_eq!(next(&seen), "a: closed");
+    assert_eq!(next_report(&reports), "a: closed");
     assert_eq!(node.client().ask(&["PING"]), "+PONG");
 }
 
 #[test]
-fn with_all_places_taken_an_idle_client_makes_room() {
-    let (node, _seen) = Setup::new()
+fn idle_client_is_closed_for_a_new_one_at_the_limit() {
+    let (node, _reports) = Setup::new()
         .server("a", |_| hit("v"))
         .keys(r#""limits":{"sockets":64,"memory_mb":32},"#)
         .start();
     let mut clients: Vec<_> = (0..100).map(|_| node.client()).collect();
-    // Some of the first were closed for others; whoever came last is served.
+    // Some of the first clients were closed for later ones; the last client is served.
     let last = clients.last_mut().expect("a client");
-    assert_eq!(last.ask(&["OBJ.GET", "k", "id", FACTS]), "v");
+    assert_eq!(last.ask(&["OBJ.GET", "k", "id", ATTRIBUTES]), "v");
 }
 
 #[test]
-fn a_process_with_fewer_descriptors_than_told_serves_on() {
-    let (node, _seen) = Setup::new()
+fn node_with_fewer_descriptors_than_configured_serves() {
+    let (node, _reports) = Setup::new()
         .server("a", |_| hit("v"))
         .keys(r#""limits":{"sockets":1024},"#)
         .descriptors(56)
         .start();
     let mut clients: Vec<_> = (0..100).map(|_| node.client()).collect();
     for client in clients.iter_mut().rev().take(10) {
-        assert_eq!(client.ask(&["OBJ.GET", "k", "id", FACTS]), "v");
+        assert_eq!(client.ask(&["OBJ.GET", "k", "id", ATTRIBUTES]), "v");
     }
 }
 
-/// While 128 of its commands are open nothing more is read from a client, so its end lies behind bytes that nobody reads.
+/// A client with 128 open commands is not read any further, so the end of its connection lies
+/// behind unread bytes. All its attempts still have to be cancelled when it disconnects.
 #[test]
-fn a_client_that_leaves_with_many_commands_unread_takes_its_attempts_with_it() {
-    let (node, seen) = Setup::new().server("a", |_| ServerAction::Hold).start();
+fn attempts_are_cancelled_behind_unread_commands() {
+    let (node, reports) = Setup::new().server("a", |_| ServerAction::Ignore).start();
     let mut client = node.client();
     for i in 0..400 {
         client.send(&command(&[
@@ -134,19 +142,19 @@
             "c=view,d=40000",
         ]));
     }
-    assert!(next(&seen).starts_with("a: OBJ.GET"));
-    // Somebody else is served: all that may be read of the first has been.
+    assert!(next_report(&reports).starts_with("a: OBJ.GET"));
+    // Once another client is served, the node has read all that it reads from the first one.
     assert_eq!(node.client().ask(&["PING"]), "+PONG");
     drop(client);
-    // As many as have begun are called off.
+    // Every attempt that has begun is cancelled.
     let (mut begun, mut closed) = (1, 0);
     while closed < begun {
-        match next(&seen).as_str() {
+        match next_report(&reports).as_str() {
             "a: closed" => closed += 1,
-            more => {
+            report => {
                 assert!(
-                    more.starts_with("a: OBJ.GET"),
-                    "{more} with {begun} begun, {closed} closed"
+                    report.starts_with("a: OBJ.GET"),
+                    "{report} with {begun} begun, {closed} closed"
                 );
                 begun += 1;
             }
@@ -154,15 +162,16 @@
     }
 }
 
-/// Behind a command that can't be parsed nothing is read any more, while the call before it is still open.
+/// After a malformed command nothing more is read, while the call before it is still open. Its
+/// attempt still has to be cancelled when the client disconnects.
 #[test]
-fn a_client_that_leaves_after_a_fault_takes_its_attempt_with_it() {
-    let (node, seen) = Setup::new().server("a", |_| ServerAction::Hold).start();
+fn attempt_is_cancelled_after_a_malformed_command() {
+    let (node, reports) = Setup::new().server("a", |_| ServerAction::Ignore).start();
     let mut client = node.client();
     client.send(&command(&["OBJ.GET", "k", "id", "c=view,d=40000"]));
     client.send(b"garbage\r\nand more of it\r\n");
-    assert_eq!(next(&seen), "a: OBJ.GET k id");
+    assert_eq!(next_report(&reports), "a: OBJ.GET k id");
     assert_eq!(node.client().ask(&["PING"]), "+PONG");
     drop(client);
-    assert_eq!(next(&seen), "a: closed");
+    assert_eq!(next_report(&reports), "a: closed");
 }
--- a/crates/node/tests/sockets/closing_races.rs
+++ b/crates/node/tests/sockets/closing_races.rs
@@ -1,6 +1,7 @@
-//! Commands that cross the node's close of their connection, whatever it is closed for.
+//! Commands that cross the node's close of their connection, for each reason of a close.
 use super::common::*;
 
+/// Starts an embedded node with a client timeout of 100 ms and adjusted limits.
 fn embedded(
     known: &[(&str, SocketAddr)],
     adjust: impl FnOnce(&mut quartzhub_node::limits::Limits),
@@ -11,178 +12,190 @@
     Embedded::start(config)
 }
 
-fn patience() -> Span {
+/// A limit that no test reaches.
+fn unreached_limit() -> Span {
     Span::ms(EVENT_TIMEOUT.as_millis() as i64)
 }
 
-/// Half a command has come when clients are closed: it has the time for its other half, and is answered before the close.
+/// Half a command has been received when clients are disconnected: the other half has to be
+/// awaited, and the command answered before the close.
 #[test]
-fn half_a_command_at_the_end_is_given_the_time_for_its_other_half() {
-    let (tell, seen) = channel();
-    let cache = server("a", tell, |_| hit("v"));
+fn half_command_at_shutdown_is_completed_and_answered() {
+    let (sender, reports) = channel();
+    let cache = server("a", sender, |_| hit("v"));
     let node = embedded(&[("a", cache)], |limits| {
-        limits.partial_command_timeout = patience();
-        limits.final_partial_command = patience();
-        limits.shutdown_disconnect = patience();
-        limits.shutdown_limit = patience();
+        limits.partial_command_timeout = unreached_limit();
+        limits.final_partial_command = unreached_limit();
+        limits.shutdown_disconnect = unreached_limit();
+        limits.shutdown_limit = unreached_limit();
     });
-    let (mut idle, mut half) = (node.client(), node.client());
+    let (mut idle, mut partial_client) = (node.client(), node.client());
     assert_eq!(
-        (idle.ask(&["PING"]), half.ask(&["PING"])),
+        (idle.ask(&["PING"]), partial_client.ask(&["PING"])),
         ("+PONG".into(), "+PONG".into())
     );
     let bytes = command(&["OBJ.GET", "k", "id", "c=view,d=30000"]);
-    let (first, last) = bytes.split_at(bytes.len() / 2);
-    half.send(first);
-    // What was sent has been read once the next round trips are over.
+    let (first_half, last_half) = bytes.split_at(bytes.len() / 2);
+    partial_client.send(first_half);
+    // The node has read the half once another client has finished three round trips.
     (0..3).for_each(|_| assert_eq!(idle.ask(&["PING"]), "+PONG"));
-    let ended = node.stop();
-    assert_eq!(idle.answer(), "closed");
-    half.send(last);
-    // No call is given longer than the process has, and this one comes late: it has an answer, of whatever kind, then the end.
-    let answer = half.answer();
-    assert!(answer == "v" || answer.starts_with('-'), "{answer}");
-    assert_eq!(half.answer(), "closed");
-    ended.join().expect("a node").expect("an end");
-    assert_eq!(seen.try_iter().count(), usize::from(answer == "v"));
+    let node_thread = node.shut_down();
+    assert_eq!(idle.response(), "closed");
+    partial_client.send(last_half);
+    // No call gets more time than the process has left, and this one is late: it gets some final
+    // response and then the close.
+    let response = partial_client.response();
+    assert!(response == "v" || response.starts_with('-'), "{response}");
+    assert_eq!(partial_client.response(), "closed");
+    node_thread.join().expect("a node").expect("an end");
+    assert_eq!(reports.try_iter().count(), usize::from(response == "v"));
 }
 
-/// The other half never comes: the client is closed in a bounded time, and nothing is sent on.
+/// The other half never arrives: the client has to be closed in a bounded time, and nothing is sent
+/// to a server.
 #[test]
-fn half_a_command_at_the_end_holds_up_nobody_for_ever() {
-    let (tell, seen) = channel();
-    let cache = server("a", tell, |_| hit("v"));
+fn half_command_delays_shutdown_for_a_bounded_time() {
+    let (sender, reports) = channel();
+    let cache = server("a", sender, |_| hit("v"));
     let node = embedded(&[("a", cache)], |limits| {
-        limits.partial_command_timeout = patience();
+        limits.partial_command_timeout = unreached_limit();
         limits.final_partial_command = Span::ms(50);
-        limits.shutdown_disconnect = patience();
-        limits.shutdown_limit = patience();
+        limits.shutdown_disconnect = unreached_limit();
+        limits.shutdown_limit = unreached_limit();
     });
-    let mut half = node.client();
-    assert_eq!(half.ask(&["PING"]), "+PONG");
-    half.send(b"*4\r\n$7\r\nOBJ.");
-    let begun = Instant::now();
-    let ended = node.stop();
-    assert_eq!(half.answer(), "closed");
-    drop(half);
-    ended.join().expect("a node").expect("an end");
+    let mut partial_client = node.client();
+    assert_eq!(partial_client.ask(&["PING"]), "+PONG");
+    partial_client.send(b"*4\r\n$7\r\nOBJ.");
+    let started_at = Instant::now();
+    let node_thread = node.shut_down();
+    assert_eq!(partial_client.response(), "closed");
+    drop(partial_client);
+    node_thread.join().expect("a node").expect("an end");
     assert!(
-        begun.elapsed() < EVENT_TIMEOUT / 2,
-        "it waited for the half command: {:?}",
-        begun.elapsed()
+        started_at.elapsed() < EVENT_TIMEOUT / 2,
+        "the shutdown waited for the half command: {:?}",
+        started_at.elapsed()
     );
-    assert!(seen.try_recv().is_err());
+    assert!(reports.try_recv().is_err());
 }
 
-/// A client still lies in the listen queue, its command sent, when the time of the process is over: it may be taken and refused, or
-/// be reset, and is sent nowhere, as its answer would be lost.
+/// A client that has sent a command is still in the listen queue when the time of the process is
+/// over. It may be accepted and rejected or be reset, but its command must not be sent to a server,
+/// as the response would be lost.
 #[test]
-fn what_lies_in_the_listen_queue_at_the_end_is_sent_nowhere() {
-    let (tell, seen) = channel();
-    let cache = server("a", tell, |_| hit("v"));
+fn command_in_the_listen_queue_at_the_end_is_not_sent() {
+    let (sender, reports) = channel();
+    let cache = server("a", sender, |_| hit("v"));
     for _ in 0..5 {
-        let mut node = Node::with(
+        let mut node = Node::with_config(
             &config(&[("a", cache)], "").replace("40000", "100"),
             DESCRIPTORS,
         );
         assert_eq!(node.client().ask(&["PING"]), "+PONG");
         node.signal("-TERM");
-        node.says("shutdown requested");
-        node.stop();
-        let mut late = node.client();
-        late.send(&command(&["OBJ.GET", "k", "late", FACTS]));
-        // Past the 100 ms that calls are given, and the 620 ms behind them.
+        node.await_log("shutdown requested");
+        node.suspend();
+        let mut late_client = node.client();
+        late_client.send(&command(&["OBJ.GET", "k", "late", ATTRIBUTES]));
+        // Longer than the client timeout of 100 ms and the 620 ms of the shutdown after it.
         std::thread::sleep(Duration::from_millis(800));
         node.signal("-CONT");
-        let answer = late.answer();
+        let response = late_client.response();
         assert!(
-            answer == "closed" || answer.starts_with("-BUSY"),
-            "{answer}"
+            response == "closed" || response.starts_with("-BUSY"),
+            "{response}"
         );
-        assert!(node.child.wait().expect("an end").success());
+        assert!(node.child.wait().expect("an exit status").success());
         assert!(
-            seen.try_recv().is_err(),
-            "it was sent on, and answered {answer}"
+            reports.try_recv().is_err(),
+            "the command was sent to a server; the client got {response}"
         );
     }
 }
 
-/// A client is closed once it has been idle for 5 s. Its command has come when that time is over, though not been read.
+/// A client is closed once it has been idle for 5 s. Here its command has arrived, but is unread,
+/// when that time is over.
 #[test]
-fn a_command_that_has_come_when_its_idle_client_is_to_be_closed_is_answered() {
-    let (node, _seen) = Setup::new().server("a", |_| hit("v")).start();
+fn unread_command_at_the_idle_timeout_is_answered() {
+    let (node, _reports) = Setup::new().server("a", |_| hit("v")).start();
     let mut clients: Vec<_> = (0..10).map(|_| node.client()).collect();
     for (i, client) in clients.iter_mut().enumerate() {
         assert_eq!(
-            client.ask(&["OBJ.GET", "k", &format!("first{i}"), FACTS]),
+            client.ask(&["OBJ.GET", "k", &format!("first{i}"), ATTRIBUTES]),
             "v"
         );
     }
     std::thread::sleep(Duration::from_millis(4_000));
-    node.stop();
+    node.suspend();
     for (i, client) in clients.iter_mut().enumerate() {
-        client.send(&command(&["OBJ.GET", "k", &format!("second{i}"), FACTS]));
+        client.send(&command(&[
+            "OBJ.GET",
+            "k",
+            &format!("second{i}"),
+            ATTRIBUTES,
+        ]));
     }
     std::thread::sleep(Duration::from_millis(1_500));
     node.signal("-CONT");
     for client in &mut clients {
-        assert_eq!(client.answer(), "v");
+        assert_eq!(client.response(), "v");
     }
 }
 
-/// The same of idle clients that are to be closed to make room for new ones.
+/// The same for idle clients that are about to be closed in favour of new ones.
 #[test]
-fn a_command_that_has_come_when_its_idle_client_is_to_make_room_is_answered() {
-    let (node, _seen) = Setup::new()
+fn unread_command_of_a_client_closed_for_another_is_answered() {
+    let (node, _reports) = Setup::new()
         .server("a", |_| hit("v"))
         .keys(r#""limits":{"sockets":64,"memory_mb":32},"#)
         .start();
-    // With the first few of those that come, more than may be there at once.
+    // With some of the new clients these are more than the node may have at once.
     let mut idle: Vec<_> = (0..25).map(|_| node.client()).collect();
     idle.iter_mut()
         .for_each(|client| assert_eq!(client.ask(&["PING"]), "+PONG"));
-    // Long enough to be closed for others.
+    // Idle for long enough to be closed in favour of others.
     std::thread::sleep(Duration::from_millis(100));
-    node.stop();
+    node.suspend();
     let mut others: Vec<_> = (0..60).map(|_| node.client()).collect();
     others
         .iter_mut()
         .for_each(|client| client.send(&command(&["PING"])));
     for (i, client) in idle.iter_mut().enumerate() {
-        client.send(&command(&["OBJ.GET", "k", &format!("id{i}"), FACTS]));
+        client.send(&command(&["OBJ.GET", "k", &format!("id{i}"), ATTRIBUTES]));
     }
     node.signal("-CONT");
     for (i, client) in idle.iter_mut().enumerate() {
-        let answer = client.answer();
+        let response = client.response();
         assert!(
-            answer == "v" || answer.starts_with("-BUSY"),
-            "client {i}: {answer}"
+            response == "v" || response.starts_with("-BUSY"),
+            "client {i}: {response}"
         );
     }
     others
         .iter_mut()
-        .for_each(|client| assert_eq!(client.answer(), "+PONG"));
+        .for_each(|client| assert_eq!(client.response(), "+PONG"));
 }
 
-/// A command sent on a connection that the node has closed already is not read, and its client can tell.
+/// A command sent on a connection that the node has already closed is not read, and its client sees
+/// the close.
 #[test]
-fn a_command_behind_the_close_of_its_idle_client_is_sent_nowhere() {
-    let (tell, seen) = channel();
-    let cache = server("a", tell, |_| hit("v"));
+fn command_after_the_close_of_an_idle_client_is_not_sent() {
+    let (sender, reports) = channel();
+    let cache = server("a", sender, |_| hit("v"));
     let node = embedded(&[("a", cache)], |limits| {
         limits.client_idle_timeout = Span::ms(100)
     });
     let mut client = node.client();
-    assert_eq!(client.ask(&["OBJ.GET", "k", "id1", FACTS]), "v");
-    assert_eq!(next(&seen), "a: OBJ.GET k id1");
-    // The end has come, though the client has not looked yet.
-    let ended = client.0.get_ref().peek(&mut [0]);
-    assert!(matches!(ended, Ok(0)), "{ended:?}");
+    assert_eq!(client.ask(&["OBJ.GET", "k", "id1", ATTRIBUTES]), "v");
+    assert_eq!(next_report(&reports), "a: OBJ.GET k id1");
+    // The close has arrived, but the client has not noticed it yet.
+    let peeked = client.0.get_ref().peek(&mut [0]);
+    assert!(matches!(peeked, Ok(0)), "{peeked:?}");
     let _ = client
         .0
         .get_mut()
-        .write_all(&command(&["OBJ.GET", "k", "id2", FACTS]));
-    assert_eq!(client.answer(), "closed");
-    assert_eq!(node.client().ask(&["OBJ.GET", "k", "id3", FACTS]), "v");
-    assert_eq!(next(&seen), "a: OBJ.GET k id3");
+        .write_all(&command(&["OBJ.GET", "k", "id2", ATTRIBUTES]));
+    assert_eq!(client.response(), "closed");
+    assert_eq!(node.client().ask(&["OBJ.GET", "k", "id3", ATTRIBUTES]), "v");
+    assert_eq!(next_report(&reports), "a: OBJ.GET k id3");
 }
--- a/crates/node/tests/sockets/common.rs
+++ b/crates/node/tests/sockets/common.rs
@@ -1,5 +1,5 @@
-//! The harness: servers are threads that report what they read and do as the test says; tests await events, never
-//! set times.
+//! The test harness. Servers are threads that report each message they read and act as the test
+//! tells them. Tests wait for events rather than for fixed times.
 pub use std::io::{BufRead, BufReader, Read, Write};
 pub use std::net::{SocketAddr, TcpListener, TcpStream};
 pub use std::process::{Child, Command, Stdio};
@@ -12,7 +12,7 @@
 
 pub use super::stub_servers::*;
 
-// Paths, as the soak test takes this module too.
+// Explicit paths, as the soak test includes this module from another folder.
 #[path = "common/admin.rs"]
 mod admin;
 #[path = "common/client.rs"]
@@ -30,17 +30,18 @@
 pub use node::*;
 pub use setup::*;
 
-/// Longest that any event may take, on a machine however slow.
+/// Longest time that any event may take, also on a slow machine.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a server reports next.
-pub fn next(seen: &Receiver<String>) -> String {
-    seen.recv_timeout(EVENT_TIMEOUT)
+/// Returns the next report of a server, or `nothing` after `EVENT_TIMEOUT`.
+pub fn next_report(reports: &Receiver<String>) -> String {
+    reports
+        .recv_timeout(EVENT_TIMEOUT)
         .unwrap_or_else(|_| "nothing".to_owned())
 }
 
-/// A port that was free a moment ago.
-pub fn free() -> SocketAddr {
+/// Returns a local address whose port was free when this was called.
+pub fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
         .expect("a port")
         .local_addr()
--- a/crates/node/tests/sockets/common/admin.rs
+++ b/crates/node/tests/sockets/common/admin.rs
@@ -1,28 +1,29 @@
-//! Calls that operators make.
+//! Calls of the admin API, as operators make them.
 use super::*;
 
-/// What the operators' front answers to these bytes, up to its close.
-pub fn ops(addr: SocketAddr, bytes: &[u8]) -> String {
+/// Sends bytes to the admin API and returns all that it sends back until it closes the connection.
+pub fn admin_exchange(addr: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(addr).expect("a connection");
     stream
         .set_read_timeout(Some(EVENT_TIMEOUT))
-        .expect("a time limit");
+        .expect("a timeout");
     stream.write_all(bytes).expect("sent");
-    let mut said = String::new();
-    stream.read_to_string(&mut said).expect("a close");
-    said
+    let mut received = String::new();
+    stream.read_to_string(&mut received).expect("a close");
+    received
 }
 
-pub fn operate(addr: SocketAddr, call: &str) -> String {
-    let said = ops(
+/// Makes a call of the admin API and returns `status: body`.
+pub fn admin_call(addr: SocketAddr, call: &str) -> String {
+    let response = admin_exchange(
         addr,
         format!("{call} HTTP/1.1\r\nHost: node\r\n\r\n").as_bytes(),
     );
-    let head = said
+    let head = response
         .lines()
         .next()
         .unwrap_or_default()
         .replace("HTTP/1.1 ", "");
-    let body = said.split_once("\r\n\r\n").map_or("", |parts| parts.1);
+    let body = response.split_once("\r\n\r\n").map_or("", |parts| parts.1);
     format!("{head}: {body}").trim_end().to_owned()
 }
--- a/crates/node/tests/sockets/common/client.rs
+++ b/crates/node/tests/sockets/common/client.rs
@@ -1,20 +1,22 @@
 //! A client that speaks RESP to a node.
 use super::*;
 
-/// A list of attributes that a read has.
-pub const FACTS: &str = "c=view,d=30000";
+/// An attribute list for a read.
+pub const ATTRIBUTES: &str = "c=view,d=30000";
 
+/// A connection to a node.
 pub struct Client(pub BufReader<TcpStream>);
 
-/// Sends the end of a connection that is about to be dropped. Guards against a close that does nothing yet: a process that
-/// another test is just starting holds a copy of the descriptor for a moment.
-pub fn send_end(stream: &TcpStream) {
+/// Ends the sending side of a connection that is about to be dropped. Without this, the drop may
+/// not close the connection: a process that another test starts at that moment briefly holds a copy
+/// of the descriptor.
+pub fn shutdown_write(stream: &TcpStream) {
     let _ = stream.shutdown(std::net::Shutdown::Write);
 }
 
 impl Drop for Client {
     fn drop(&mut self) {
-        send_end(self.0.get_ref());
+        shutdown_write(self.0.get_ref());
     }
 }
 
@@ -23,7 +25,7 @@
         let stream = TcpStream::connect(to).expect("a connection");
         stream
             .set_read_timeout(Some(EVENT_TIMEOUT))
-            .expect("a time limit");
+            .expect("a timeout");
         Client(BufReader::new(stream))
     }
 
@@ -31,27 +33,30 @@
         self.0.get_mut().write_all(bytes).expect("sent");
     }
 
-    /// The next answer: a line, with a bulk string's text behind it.
-    pub fn answer(&mut self) -> String {
-        let Some(head) = line(&mut self.0) else {
+    /// Returns the next response: the line, or for a bulk string its text. `closed` if the
+    /// connection has ended, `cut` if it ends within a bulk string.
+    pub fn response(&mut self) -> String {
+        let Some(head) = read_line(&mut self.0) else {
             return "closed".to_owned();
         };
         match head
             .strip_prefix('$')
             .and_then(|count| count.parse::<usize>().ok())
         {
-            Some(count) => bytes(&mut self.0, count + 2)
+            Some(count) => read_text(&mut self.0, count + 2)
                 .map_or("cut".into(), |text| text.trim_end().to_owned()),
             None => head,
         }
     }
 
+    /// Sends a command and returns its response.
     pub fn ask(&mut self, words: &[&str]) -> String {
         self.send(&command(words));
-        self.answer()
+        self.response()
     }
 }
 
+/// Encodes a command as a RESP array of bulk strings.
 pub fn command(words: &[&str]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", words.len());
     words
--- a/crates/node/tests/sockets/common/discovery.rs
+++ b/crates/node/tests/sockets/common/discovery.rs
@@ -1,19 +1,21 @@
-//! A stand-in for discovery.
+//! A stub of the discovery service.
 use super::*;
 
-/// A discovery whose watches say what the test gives them, one watch after another.
-pub fn discovery(watches: Vec<Receiver<String>>, asked: Sender<String>) -> SocketAddr {
+/// Starts a discovery service that takes one watch for each receiver, in their order. A watch sends
+/// each message that the test puts into its channel and ends with the channel. The requests of the
+/// watches go to `request_sender`.
+pub fn discovery(watches: Vec<Receiver<String>>, request_sender: Sender<String>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
-        for (stream, says) in listener.incoming().flatten().zip(watches) {
-            let asked = asked.clone();
+        for (stream, messages) in listener.incoming().flatten().zip(watches) {
+            let request_sender = request_sender.clone();
             std::thread::spawn(move || {
                 let mut reader = BufReader::new(stream);
-                let _ = asked.send(request(&mut reader).unwrap_or_default());
+                let _ = request_sender.send(read_request(&mut reader).unwrap_or_default());
                 let stream = reader.get_mut();
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                for text in says.iter() {
+                for text in messages.iter() {
                     let _ = stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes());
                 }
             });
@@ -23,27 +25,28 @@
     addr
 }
 
-/// A discovery with some watches, and what a test needs of it.
-pub struct Watched<const WATCHES: usize> {
+/// A discovery service with a given number of watches, and the channels by which a test controls
+/// it.
+pub struct WatchedDiscovery<const WATCHES: usize> {
     pub addr: SocketAddr,
-    /// Each sends to its watch; a watch ends with its sender.
+    /// Senders of the messages of each watch; a watch ends when its sender is dropped.
     pub watches: [Sender<String>; WATCHES],
-    /// What it was asked, watch by watch.
-    pub asks: Receiver<String>,
+    /// The requests for watches, in their order.
+    pub requests: Receiver<String>,
 }
 
-/// Starts a discovery with so many watches.
-pub fn watched_discovery<const WATCHES: usize>() -> Watched<WATCHES> {
-    let (asked, asks) = channel();
-    let (mut told, mut receivers) = (Vec::new(), Vec::new());
+/// Starts a discovery service with `WATCHES` watches.
+pub fn watched_discovery<const WATCHES: usize>() -> WatchedDiscovery<WATCHES> {
+    let (request_sender, requests) = channel();
+    let (mut senders, mut receivers) = (Vec::new(), Vec::new());
     for _ in 0..WATCHES {
         let (sender, receiver) = channel();
-        told.push(sender);
+        senders.push(sender);
         receivers.push(receiver);
     }
-    Watched {
-        addr: discovery(receivers, asked),
-        watches: told.try_into().expect("as many as were made"),
-        asks,
+    WatchedDiscovery {
+        addr: discovery(receivers, request_sender),
+        watches: senders.try_into().expect("as many as were made"),
+        requests,
     }
 }
--- a/crates/node/tests/sockets/common/node.rs
+++ b/crates/node/tests/sockets/common/node.rs
@@ -1,42 +1,42 @@
-//! Nodes: the program in a process of its own, or one within the test.
+//! Nodes under test: the program in its own process, or a node embedded in the test's process.
 use super::*;
 
-/// Settings: reads and writes that may be repeated, and writes that may not.
+/// Settings with a product that may be repeated (`view`) and one that may not (`book`).
 pub const SETTINGS: &str = r#"{"Kinds":["box","origin"],"Extra":{"Mode":"aside","OriginKind":1},
     "Caps":{"MostShots":3,"MayDuplicate":true,"Cancelling":true,"ConnectTimeout":5000,"Keepalive":60000},
     "Products":[{"Name":"view","Effect":"idempotent","LatencySlo":20000,"ClientTimeout":40000},
                 {"Name":"book","Effect":"at_most_once","LatencySlo":20000,"ClientTimeout":40000}]}"#;
 
-/// How many descriptors a node may have, where a test does not say.
+/// Default limit of a node's file descriptors.
 pub const DESCRIPTORS: usize = 4096;
 
-/// The program in a process of its own.
+/// The program in its own process, once it serves.
 pub struct Node {
     pub child: Child,
     pub addr: SocketAddr,
     pub log: Option<BufReader<std::process::ChildStderr>>,
-    pub file: std::path::PathBuf,
+    pub config_path: std::path::PathBuf,
 }
 
 impl Drop for Node {
     fn drop(&mut self) {
-        let _ = std::fs::remove_file(&self.file);
+        let _ = std::fs::remove_file(&self.config_path);
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// A server in an endpoint list, as discovery writes it.
-pub fn entry(id: &str, addr: SocketAddr, state: &str) -> String {
+/// Returns a server's entry in an endpoint list, in the format of the discovery service.
+pub fn endpoint_entry(id: &str, addr: SocketAddr, state: &str) -> String {
     let kind = if id == "origin" { "origin" } else { "box" };
     format!(r#"{{"id":"{id}","addr":"{addr}","kind":"{kind}","state":"{state}","started_ms":0}}"#)
 }
 
-/// A message of discovery: the endpoint list, or a change to it.
-pub fn list(full: bool, version: u64, servers: &[(&str, SocketAddr, &str)]) -> String {
+/// Returns a watch event: the full endpoint list, or an update to it.
+pub fn endpoint_list(full: bool, version: u64, servers: &[(&str, SocketAddr, &str)]) -> String {
     let servers: Vec<_> = servers
         .iter()
-        .map(|(id, addr, state)| entry(id, *addr, state))
+        .map(|(id, addr, state)| endpoint_entry(id, *addr, state))
         .collect();
     format!(
         r#"{{"version":{version},"full":{full},"servers":[{}]}}"#,
@@ -44,63 +44,73 @@
     )
 }
 
-/// A configuration whose list of servers is known from the start, with further keys.
-pub fn config(known: &[(&str, SocketAddr)], more: &str) -> String {
+/// Returns a configuration with an endpoint list that is known from the start. `extra_keys`:
+/// further keys, each with a comma behind it.
+pub fn config(known: &[(&str, SocketAddr)], extra_keys: &str) -> String {
     let known: Vec<_> = known
         .iter()
         .map(|(id, addr)| (*id, *addr, "in_service"))
         .collect();
-    let known = list(true, 1, &known);
-    format!(r#"{{"listen":"127.0.0.1:0","seed":"7",{more}"known":{known},"settings":{SETTINGS}}}"#)
+    let known = endpoint_list(true, 1, &known);
+    format!(
+        r#"{{"listen":"127.0.0.1:0","seed":"7",{extra_keys}"known":{known},"settings":{SETTINGS}}}"#
+    )
 }
 
 impl Node {
-    pub fn start(known: &[(&str, SocketAddr)], more: &str) -> Node {
-        Node::start_with(known, more, DESCRIPTORS)
+    pub fn start(known: &[(&str, SocketAddr)], extra_keys: &str) -> Node {
+        Node::start_with_descriptors(known, extra_keys, DESCRIPTORS)
     }
 
-    pub fn start_with(known: &[(&str, SocketAddr)], more: &str, descriptors: usize) -> Node {
-        Node::with(&config(known, more), descriptors)
+    pub fn start_with_descriptors(
+        known: &[(&str, SocketAddr)],
+        extra_keys: &str,
+        descriptors: usize,
+    ) -> Node {
+        Node::with_config(&config(known, extra_keys), descriptors)
     }
 
-    pub fn with(config: &str, descriptors: usize) -> Node {
+    pub fn with_config(config: &str, descriptors: usize) -> Node {
         Node::with_environment(config, descriptors, &[])
     }
 
-    /// With further variables of the environment.
+    /// Starts a node with further environment variables and waits until it serves.
     pub fn with_environment(
         config: &str,
         descriptors: usize,
         environment: &[(&str, std::path::PathBuf)],
     ) -> Node {
-        let Process { mut child, file } =
-            spawn_to(config, descriptors, Stdio::piped(), environment);
+        let Process {
+            mut child,
+            config_path,
+        } = spawn_to(config, descriptors, Stdio::piped(), environment);
         let mut log = BufReader::new(child.stderr.take().expect("a pipe"));
-        let told = std::iter::from_fn(|| line(&mut log)).find(|line| line.contains("serves on"));
-        let addr = told
+        let serves_line =
+            std::iter::from_fn(|| read_line(&mut log)).find(|line| line.contains("serves on"));
+        let addr = serves_line
             .as_ref()
-            .and_then(|told| told.rsplit(' ').next()?.parse().ok());
+            .and_then(|line| line.rsplit(' ').next()?.parse().ok());
         Node {
             child,
-            addr: addr.expect("a line that tells the address"),
+            addr: addr.expect("a log line with the address"),
             log: Some(log),
-            file,
+            config_path,
         }
     }
 
-    /// Awaits a line of the log.
-    pub fn says(&mut self, what: &str) {
+    /// Reads the log up to a line that contains `text`.
+    pub fn await_log(&mut self, text: &str) {
         let log = self.log.as_mut().expect("a log");
-        let found = std::iter::from_fn(|| line(log)).any(|line| line.contains(what));
-        assert!(found, "no line with {what:?}");
+        let found = std::iter::from_fn(|| read_line(log)).any(|line| line.contains(text));
+        assert!(found, "no log line with {text:?}");
     }
 
     pub fn client(&self) -> Client {
         Client::connect(self.addr)
     }
 
-    /// Has the process stand still, and awaits that it does.
-    pub fn stop(&self) {
+    /// Stops the process by SIGSTOP and waits until the system reports it as stopped.
+    pub fn suspend(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
         while !std::fs::read_to_string(&stat)
@@ -111,6 +121,7 @@
         }
     }
 
+    /// Sends a signal, named as an option of `kill`.
     pub fn signal(&self, name: &str) {
         let done = Command::new("kill")
             .arg(name)
@@ -120,26 +131,26 @@
     }
 }
 
-/// The program, before it is known to serve.
+/// The program in its own process, before it is known to serve.
 pub struct Process {
     pub child: Child,
-    /// Its configuration.
-    pub file: std::path::PathBuf,
+    /// The file of its configuration.
+    pub config_path: std::path::PathBuf,
 }
 
 impl Process {
-    /// A node that will serve on this address.
+    /// Converts this to a node that serves, or will serve, on `addr`.
     pub fn into_node(self, addr: SocketAddr) -> Node {
         Node {
             child: self.child,
             addr,
             log: None,
-            file: self.file,
+            config_path: self.config_path,
         }
     }
 }
 
-/// Writes a configuration to a file of its own.
+/// Writes a configuration to a new file and returns the path.
 pub fn config_file(text: &str) -> std::path::PathBuf {
     use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
     static COUNT: AtomicUsize = AtomicUsize::new(0);
@@ -153,19 +164,20 @@
     file
 }
 
-/// Starts the program, with its log to be read by the test.
+/// Starts the program with a log that the test can read.
 pub fn spawn(config: &str, descriptors: usize) -> Process {
     spawn_to(config, descriptors, Stdio::piped(), &[])
 }
 
-/// Starts the program, with its log going to `log` and further variables of the environment.
+/// Starts the program with a limit of its descriptors, its log sent to `log` and further
+/// environment variables.
 pub fn spawn_to(
     config: &str,
     descriptors: usize,
     log: Stdio,
     environment: &[(&str, std::path::PathBuf)],
 ) -> Process {
-    let file = config_file(config);
+    let config_path = config_file(config);
     let child = Command::new("sh")
         .arg("-c")
         .arg(format!("ulimit -n {descriptors} 2>/dev/null; exec \"$0\""))
@@ -174,17 +186,17 @@
         .env_remove("LB_DISCOVERY")
         .env_remove("LB_OPS")
         .env_remove("LB_INHERITED_FD")
-        .env("LB_CONFIG", &file)
+        .env("LB_CONFIG", &config_path)
         .envs(environment.iter().cloned())
         .stderr(log)
         .spawn()
         .expect("the program starts");
-    Process { child, file }
+    Process { child, config_path }
 }
 
-/// A node that inherits the listener as descriptor 4, once it is ready.
+/// Starts a node that inherits the listener as descriptor 4 and returns it once it is ready.
 pub fn node_inheriting(listener: &TcpListener, config: &str, ops: SocketAddr) -> Node {
-    let file = config_file(config);
+    let config_path = config_file(config);
     let inherited = std::os::fd::OwnedFd::from(listener.try_clone().expect("a descriptor"));
     let child = Command::new("sh")
         .args([
@@ -197,22 +209,23 @@
         .env_remove("LB_DISCOVERY")
         .env("LB_OPS", ops.to_string())
         .env("LB_INHERITED_FD", "4")
-        .env("LB_CONFIG", &file)
+        .env("LB_CONFIG", &config_path)
         .spawn()
         .expect("the program starts");
     let addr = listener.local_addr().expect("an address");
-    let begun = std::time::Instant::now();
-    while begun.elapsed() < EVENT_TIMEOUT {
-        if TcpStream::connect(ops).is_ok() && operate(ops, "GET /control/ready").starts_with("200")
+    let started_at = std::time::Instant::now();
+    while started_at.elapsed() < EVENT_TIMEOUT {
+        if TcpStream::connect(ops).is_ok()
+            && admin_call(ops, "GET /control/ready").starts_with("200")
         {
             break;
         }
         std::thread::yield_now();
     }
-    Process { child, file }.into_node(addr)
+    Process { child, config_path }.into_node(addr)
 }
 
-/// A node within the test, whose limits are the test's.
+/// A node within the test's process, for tests that need limits of their own.
 pub struct Embedded {
     pub addr: SocketAddr,
     stop: tokio::sync::oneshot::Sender<()>,
@@ -224,7 +237,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         listener.set_nonblocking(true).expect("a socket");
         let addr = listener.local_addr().expect("an address");
-        let (stop, asked) = tokio::sync::oneshot::channel::<()>();
+        let (stop, stop_requested) = tokio::sync::oneshot::channel::<()>();
         let thread = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
@@ -233,7 +246,7 @@
             let served = serve(
                 config,
                 Some(listener),
-                async { drop(asked.await) },
+                async { drop(stop_requested.await) },
                 Default::default(),
             );
             tokio::task::LocalSet::new().block_on(&runtime, served)
@@ -245,8 +258,9 @@
         Client::connect(self.addr)
     }
 
-    /// Asks it to end, as SIGTERM would; gives what awaits the end.
-    pub fn stop(self) -> std::thread::JoinHandle<std::io::Result<()>> {
+    /// Begins the graceful shutdown, as SIGTERM does, and returns the handle that waits for its
+    /// end.
+    pub fn shut_down(self) -> std::thread::JoinHandle<std::io::Result<()>> {
         self.stop.send(()).expect("it runs");
         self.thread
     }
--- a/crates/node/tests/sockets/common/setup.rs
+++ b/crates/node/tests/sockets/common/setup.rs
@@ -1,10 +1,11 @@
-//! What nearly every test sets up: servers that report to it, and a node that knows them from its start.
+//! The common setup of tests: servers that report to the test, and a node that knows them from its
+//! start.
 use super::*;
 
 /// Builds servers and a node that knows them.
 pub struct Setup {
-    tell: Sender<String>,
-    seen: Receiver<String>,
+    sender: Sender<String>,
+    reports: Receiver<String>,
     known: Vec<(&'static str, SocketAddr)>,
     keys: String,
     descriptors: usize,
@@ -12,54 +13,54 @@
 
 impl Setup {
     pub fn new() -> Setup {
-        let (tell, seen) = channel();
+        let (sender, reports) = channel();
         Setup {
-            tell,
-            seen,
+            sender,
+            reports,
             known: Vec::new(),
             keys: String::new(),
             descriptors: DESCRIPTORS,
         }
     }
 
-    /// A server that acts by a script, as `server` starts it.
+    /// Adds a server that acts by a script.
     pub fn server(
         mut self,
         name: &'static str,
         script: impl FnMut(&str) -> ServerAction + Send + 'static,
     ) -> Setup {
-        let addr = server(name, self.tell.clone(), script);
+        let addr = server(name, self.sender.clone(), script);
         self.known.push((name, addr));
         self
     }
 
-    /// The same, where the test says what is reported of each command or request.
+    /// Adds a server that acts by a script; `read` reads a message and returns the text to report.
     pub fn server_reading(
         mut self,
         name: &'static str,
-        read: Reading,
+        read: ReadMessage,
         script: impl FnMut(&str) -> ServerAction + Send + 'static,
     ) -> Setup {
-        let addr = server_reading(name, self.tell.clone(), read, script);
+        let addr = server_reading(name, self.sender.clone(), read, script);
         self.known.push((name, addr));
         self
     }
 
-    /// Further keys of the node's configuration, each with a comma behind it.
+    /// Adds keys to the node's configuration, each with a comma behind it.
     pub fn keys(mut self, keys: &str) -> Setup {
         self.keys += keys;
         self
     }
 
-    /// How many descriptors the node may have.
+    /// Sets the limit of the node's file descriptors.
     pub fn descriptors(mut self, descriptors: usize) -> Setup {
         self.descriptors = descriptors;
         self
     }
 
-    /// Starts the node; gives it with what the servers report.
+    /// Starts the node and returns it with the receiver of the servers' reports.
     pub fn start(self) -> (Node, Receiver<String>) {
-        let node = Node::start_with(&self.known, &self.keys, self.descriptors);
-        (node, self.seen)
+        let node = Node::start_with_descriptors(&self.known, &self.keys, self.descriptors);
+        (node, self.reports)
     }
 }
--- a/crates/node/tests/sockets/config.rs
+++ b/crates/node/tests/sockets/config.rs
@@ -1,123 +1,132 @@
-//! Configurations, at the start and at SIGHUP, and the log.
+//! Configurations at the start and at SIGHUP, and logs that nobody reads.
 use super::common::*;
 
 #[test]
-fn a_log_that_nobody_reads_stops_nothing() {
-    let (tell, _seen) = channel();
-    let cache = server("a", tell, |_| hit("v"));
-    let gone = TcpListener::bind("127.0.0.1:0")
+fn closed_log_pipe_does_not_stop_the_node() {
+    let (sender, _reports) = channel();
+    let cache = server("a", sender, |_| hit("v"));
+    let refusing_addr = TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
-        .expect("a port that is free again");
-    let mut node = Node::start(&[("a", cache)], &format!(r#""discovery":"{gone}","#));
+        .expect("a port that was just closed");
+    let mut node = Node::start(
+        &[("a", cache)],
+        &format!(r#""discovery":"{refusing_addr}","#),
+    );
     drop(node.log.take());
     let mut client = node.client();
-    // The node is told to shut down and its watch is refused: both are worth a line.
-    assert_eq!(client.ask(&["OBJ.GET", "k", "id", FACTS]), "v");
+    // The node logs the refused watch and the shutdown.
+    assert_eq!(client.ask(&["OBJ.GET", "k", "id", ATTRIBUTES]), "v");
     node.signal("-TERM");
-    assert!(node.child.wait().expect("an end").success());
+    assert!(node.child.wait().expect("an exit status").success());
 }
 
 #[test]
-fn a_log_whose_reader_stands_still_holds_up_nothing() {
+fn full_log_pipe_does_not_block_the_node() {
     let (_reader, mut log) = std::io::pipe().expect("a pipe");
-    // As much as it takes.
+    // The capacity of the pipe.
     log.write_all(&[b'.'; 64 * 1024]).expect("filled");
-    let before = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let addr = before.local_addr().expect("an address");
-    let Watched {
-        addr: from,
+    let reserved = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let addr = reserved.local_addr().expect("an address");
+    let WatchedDiscovery {
+        addr: discovery_addr,
         watches: [_says],
-        asks,
+        requests,
     } = watched_discovery();
-    let config = format!(r#"{{"listen":"{addr}","discovery":"{from}","settings":{SETTINGS}}}"#);
-    drop(before);
+    let config =
+        format!(r#"{{"listen":"{addr}","discovery":"{discovery_addr}","settings":{SETTINGS}}}"#);
+    drop(reserved);
     let mut node = spawn_to(&config, DESCRIPTORS, log.into(), &[]).into_node(addr);
-    assert_eq!(next(&asks), "GET /api/targets?stream=1&index=0 ");
-    // It listens once discovery has been silent for long enough.
-    let begun = Instant::now();
+    assert_eq!(next_report(&requests), "GET /api/targets?stream=1&index=0 ");
+    // The node listens once it has waited long enough for discovery.
+    let started_at = Instant::now();
     while TcpStream::connect(addr).is_err() {
-        assert!(begun.elapsed() < EVENT_TIMEOUT, "it does not listen");
+        assert!(
+            started_at.elapsed() < EVENT_TIMEOUT,
+            "the node does not listen"
+        );
         std::thread::yield_now();
     }
     assert_eq!(node.client().ask(&["PING"]), "+PONG");
     node.signal("-TERM");
-    assert!(node.child.wait().expect("an end").success());
+    assert!(node.child.wait().expect("an exit status").success());
 }
 
 #[test]
-fn a_faulty_configuration_is_told_with_its_key() {
-    let Process { child, file } = spawn(r#"{"listen":"here","settings":{}}"#, DESCRIPTORS);
+fn configuration_error_names_its_key() {
+    let Process { child, config_path } = spawn(r#"{"listen":"here","settings":{}}"#, DESCRIPTORS);
     let output = child.wait_with_output().expect("an end");
-    let _ = std::fs::remove_file(file);
+    let _ = std::fs::remove_file(config_path);
     assert!(!output.status.success());
-    let said = String::from_utf8_lossy(&output.stderr);
+    let output = String::from_utf8_lossy(&output.stderr);
     assert!(
-        said.contains(r#"listen: "here" is not an address"#),
-        "{said}"
+        output.contains(r#"listen: "here" is not an address"#),
+        "{output}"
     );
 }
 
 #[test]
-fn sighup_adds_and_drops_products_and_counts_what_it_turned_down() {
-    let (tell, seen) = channel();
-    let cache = server("a", tell, |_| hit("v"));
-    let addr = free();
+fn sighup_changes_products_and_counts_rejected_files() {
+    let (sender, reports) = channel();
+    let cache = server("a", sender, |_| hit("v"));
+    let addr = free_address();
     let before = config(&[("a", cache)], &format!(r#""ops":"{addr}","#));
-    let mut node = Node::with(&before, DESCRIPTORS);
+    let mut node = Node::with_config(&before, DESCRIPTORS);
     let mut client = node.client();
     assert_eq!(
         client.ask(&["OBJ.GET", "k1", "id1", "c=new,d=30000"]),
         "-ERR no such product"
     );
-    let mut again = |text: &str, line: &str| {
-        std::fs::write(&node.file, text).expect("written");
+    let mut reload_with = |text: &str, line: &str| {
+        std::fs::write(&node.config_path, text).expect("written");
         node.signal("-HUP");
-        node.says(line);
+        node.await_log(line);
     };
-    again(
+    reload_with(
         &before.replace(r#""view""#, r#""new""#),
         "configuration reloaded, with other settings",
     );
-    again(
+    reload_with(
         &before[..before.len() / 2],
         "the previous one stays in force",
     );
     assert_eq!(client.ask(&["OBJ.GET", "k1", "id2", "c=new,d=30000"]), "v");
-    assert_eq!(next(&seen), "a: OBJ.GET k1 id2");
+    assert_eq!(next_report(&reports), "a: OBJ.GET k1 id2");
     assert_eq!(
-        client.ask(&["OBJ.GET", "k1", "id3", FACTS]),
+        client.ask(&["OBJ.GET", "k1", "id3", ATTRIBUTES]),
         "-ERR no such product"
     );
-    let told = operate(addr, "GET /control/counters");
+    let counters = admin_call(addr, "GET /control/counters");
     expect_test::expect![[r#"
         200 OK: {"responses":{"book":{"ok":0,"shed":0,"errors":0},"new":{"ok":1,"shed":0,"errors":0},"view":{"ok":0,"shed":0,"errors":0}},"tries":1,"active":0,"pool_size":1,"pool_ejected":0,"config_applied":1,"config_rejected":1}
     "#]]
-    .assert_eq(&(told + "\n"));
+    .assert_eq(&(counters + "\n"));
 }
 
 #[test]
-fn a_configuration_is_checked_without_being_served() {
+fn check_command_validates_without_serving() {
     let folder = std::env::temp_dir();
-    let name = |form: &str| folder.join(format!("quartzhub-check-{}.{form}", std::process::id()));
+    let name =
+        |format: &str| folder.join(format!("quartzhub-check-{}.{format}", std::process::id()));
     let good = config(&[], "");
     let toml = "listen = \"127.0.0.1:0\"\n[[settings.Products]]\nName = \"view\"\nLatencySlo = 0\nClientTimeout = 9\n";
-    let mut told = String::new();
-    for (form, text) in [
+    let mut results = String::new();
+    for (format, text) in [
         ("json", &good[..]),
         ("json", &good[..99]),
         ("toml", toml),
         ("toml", &toml.replace("= 0", "= 5")),
     ] {
-        std::fs::write(name(form), text).expect("a file");
+        std::fs::write(name(format), text).expect("a file");
         let program = Command::new(env!("CARGO_BIN_EXE_quartzhub"))
             .args(["check", "--config"])
-            .arg(name(form))
+            .arg(name(format))
             .output()
             .expect("the program runs");
-        let said = [program.stdout, program.stderr].concat();
-        let said = String::from_utf8_lossy(&said).replace(&*name(form).to_string_lossy(), "file");
-        told += &format!("{}: {said}", program.status.success());
-        let _ = std::fs::remove_file(name(form));
+        let output = [program.stdout, program.stderr].concat();
+        let output =
+            String::from_utf8_lossy(&output).replace(&*name(format).to_string_lossy(), "file");
+        results += &format!("{}: {output}", program.status.success());
+        let _ = std::fs::remove_file(name(format));
     }
     expect_test::expect![[r#"
         true: file: can be served
@@ -125,48 +134,49 @@
         false: quartzhub: file: settings.Products[0].LatencySlo: a number of milliseconds above 0 is needed
         true: file: can be served
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&results);
 }
 
-// A move needed a restart, as kinds and zones were read at the start only: an origin under another number would have
-// been spoken to as a cache.
+// Kinds and zones must be read at each reload, not only at the start. Otherwise an origin whose
+// kind has another index in the new settings would be treated as a cache. A call
+// that is open during the reload keeps its rules, and no call is dropped.
 #[test]
-fn a_move_to_another_deployment_and_back_drops_no_call_and_keeps_its_rules() {
-    let (tell, seen) = channel();
-    let (free_old, held_old) = channel();
-    let (free_new, held_new) = channel();
-    let (mut held_old, mut held_new) = (Some(held_old), Some(held_new));
-    let a = server("a", tell.clone(), move |words| {
-        match held_old.take_if(|_| words.ends_with("id1")) {
-            Some(held) => ServerAction::SayAfter(held, found("of a")),
+fn reload_to_another_deployment_and_back_drops_no_call() {
+    let (sender, reports) = channel();
+    let (release_old, old_released) = channel();
+    let (release_new, new_released) = channel();
+    let (mut old_released, mut new_released) = (Some(old_released), Some(new_released));
+    let a = server("a", sender.clone(), move |words| {
+        match old_released.take_if(|_| words.ends_with("id1")) {
+            Some(released) => ServerAction::RespondOnRelease(released, hit_bytes("of a")),
             None => hit("of a"),
         }
     });
-    let b = server("b", tell.clone(), move |words| {
+    let b = server("b", sender.clone(), move |words| {
         match words.rsplit(' ').next() {
             Some("id3") => miss(),
-            Some("id4") => held_new.take().map_or_else(miss, |held| {
-                ServerAction::SayAfter(held, found("of b, late"))
+            Some("id4") => new_released.take().map_or_else(miss, |released| {
+                ServerAction::RespondOnRelease(released, hit_bytes("of b, late"))
             }),
             _ => hit("of b"),
         }
     });
-    let origin = server("origin", tell, |_| http("200 OK", "of the origin"));
-    let (old_says, old_news) = channel();
-    let (new_says, new_news) = channel();
-    let (back_says, back_news) = channel();
-    let (asked, asks) = channel();
-    let old = discovery(vec![old_news, back_news], asked.clone());
-    let new = discovery(vec![new_news], asked);
-    let known = [("a", a)];
-    let plain = |discovery: SocketAddr| {
-        config(&known, &format!(r#""discovery":"{discovery}","#))
+    let origin = server("origin", sender, |_| http("200 OK", "of the origin"));
+    let (old_watch, old_messages) = channel();
+    let (new_watch, new_messages) = channel();
+    let (later_watch, later_messages) = channel();
+    let (request_sender, requests) = channel();
+    let old = discovery(vec![old_messages, later_messages], request_sender.clone());
+    let new = discovery(vec![new_messages], request_sender);
+    let known_servers = [("a", a)];
+    let config_with_discovery = |discovery: SocketAddr| {
+        config(&known_servers, &format!(r#""discovery":"{discovery}","#))
             .replace(r#""Kinds""#, r#""Projects":[],"Kinds""#)
     };
-    let before = plain(old);
-    // Other kinds in another order, forty nodes, never two attempts at once nor one called off for another, a read that is
-    // late soon.
-    let after = plain(new)
+    let before = config_with_discovery(old);
+    // Other kinds in another order, forty nodes, no hedged requests, no cancelling, and a latency
+    // objective of 100 ms that a read soon exceeds.
+    let after = config_with_discovery(new)
         .replace(r#"["box","origin"]"#, r#"["origin","twin","box"]"#)
         .replace(r#""OriginKind":1"#, r#""OriginKind":0"#)
         .replace(r#""MayDuplicate":true"#, r#""MayDuplicate":false"#)
@@ -180,98 +190,104 @@
             r#""Balancers":40,"Localities":["east"],"Kinds""#,
         )
         .replacen("20000", "100", 1);
-    // A sign of life: the node takes clients once it has heard of discovery.
-    old_says.send("\n".into()).expect("said");
-    let mut node = Node::with(&before, DESCRIPTORS);
+    // A keepalive: the node accepts clients once discovery has responded.
+    old_watch.send("\n".into()).expect("sent");
+    let mut node = Node::with_config(&before, DESCRIPTORS);
     let (mut client, mut other) = (node.client(), node.client());
-    old_says
-        .send(list(true, 1, &[("a", a, "in_service")]) + "\n")
-        .expect("said");
-    client.send(&command(&["OBJ.GET", "k", "id1", FACTS]));
-    assert_eq!(next(&seen), "a: OBJ.GET k id1");
-    let mut again = |text: &str| {
-        std::fs::write(&node.file, text).expect("a new file");
+    old_watch
+        .send(endpoint_list(true, 1, &[("a", a, "in_service")]) + "\n")
+        .expect("sent");
+    client.send(&command(&["OBJ.GET", "k", "id1", ATTRIBUTES]));
+    assert_eq!(next_report(&reports), "a: OBJ.GET k id1");
+    let mut reload_with = |text: &str| {
+        std::fs::write(&node.config_path, text).expect("a new file");
         node.signal("-HUP");
-        node.says("configuration reloaded, with other settings");
+        node.await_log("configuration reloaded, with other settings");
     };
-    again(&after);
-    // Until the new list is there, what is known serves on by the new rules.
-    assert_eq!(other.ask(&["OBJ.GET", "k", "id2", FACTS]), "of a");
-    assert_eq!(next(&seen), "a: OBJ.GET k id2");
-    new_says
+    reload_with(&after);
+    // Until the new endpoint list arrives, the known servers are used by the new rules.
+    assert_eq!(other.ask(&["OBJ.GET", "k", "id2", ATTRIBUTES]), "of a");
+    assert_eq!(next_report(&reports), "a: OBJ.GET k id2");
+    new_watch
         .send(
-            list(
+            endpoint_list(
                 true,
                 7,
                 &[("b", b, "in_service"), ("origin", origin, "in_service")],
             ) + "\n",
         )
-        .expect("said");
-    let begun = Instant::now();
-    while other.ask(&["OBJ.GET", "k2", "id0", FACTS]) != "of b" {
+        .expect("sent");
+    let started_at = Instant::now();
+    while other.ask(&["OBJ.GET", "k2", "id0", ATTRIBUTES]) != "of b" {
         assert!(
-            begun.elapsed() < EVENT_TIMEOUT,
-            "the new list is not gone by"
+            started_at.elapsed() < EVENT_TIMEOUT,
+            "the new endpoint list is not used"
         );
-        assert_eq!(next(&seen), "a: OBJ.GET k2 id0");
+        assert_eq!(next_report(&reports), "a: OBJ.GET k2 id0");
     }
-    assert_eq!(next(&seen), "b: OBJ.GET k2 id0");
-    // The first seconds: a miss is fetched from the origin under its new number, and a late read has one attempt.
-    assert_eq!(other.ask(&["OBJ.GET", "k3", "id3", FACTS]), "of the origin");
+    assert_eq!(next_report(&reports), "b: OBJ.GET k2 id0");
+    // Right after the reload, a miss is fetched from the origin under its new kind index, and a
+    // late read has a single attempt.
+    assert_eq!(
+        other.ask(&["OBJ.GET", "k3", "id3", ATTRIBUTES]),
+        "of the origin"
+    );
     assert_eq!(
-        [next(&seen), next(&seen)],
+        [next_report(&reports), next_report(&reports)],
         ["b: OBJ.GET k3 id3", "origin: GET /k3 id3 "]
     );
-    other.send(&command(&["OBJ.GET", "k4", "id4", FACTS]));
-    assert_eq!(next(&seen), "b: OBJ.GET k4 id4");
+    other.send(&command(&["OBJ.GET", "k4", "id4", ATTRIBUTES]));
+    assert_eq!(next_report(&reports), "b: OBJ.GET k4 id4");
     let mut third = node.client();
     for round in 0..50 {
-        assert_eq!(third.ask(&["OBJ.GET", "k5", "id5", FACTS]), "of b");
+        assert_eq!(third.ask(&["OBJ.GET", "k5", "id5", ATTRIBUTES]), "of b");
         assert_eq!(
-            next(&seen),
+            next_report(&reports),
             "b: OBJ.GET k5 id5",
-            "round {round}: a second attempt at once"
+            "round {round}: a hedged request"
         );
         std::thread::sleep(Duration::from_millis(10));
     }
-    free_new.send(()).expect("freed");
-    assert_eq!(other.answer(), "of b, late");
-    // The call that was open has come under the old rules and is answered; and back again.
-    free_old.send(()).expect("freed");
-    assert_eq!(client.answer(), "of a");
-    let mut back = |text: &str| {
-        std::fs::write(&node.file, text).expect("a new file");
+    release_new.send(()).expect("released");
+    assert_eq!(other.response(), "of b, late");
+    // The call that was open during the reload keeps the old rules and is answered. Then the
+    // configuration is reloaded back to the first deployment.
+    release_old.send(()).expect("released");
+    assert_eq!(client.response(), "of a");
+    let mut reload_back = |text: &str| {
+        std::fs::write(&node.config_path, text).expect("a new file");
         node.signal("-HUP");
-        node.says("configuration reloaded, with other settings");
+        node.await_log("configuration reloaded, with other settings");
     };
-    back(&before);
-    back_says
-        .send(list(true, 9, &[("a", a, "in_service")]) + "\n")
-        .expect("said");
-    while client.ask(&["OBJ.GET", "k", "id6", FACTS]) != "of a" {}
-    drop(asks);
+    reload_back(&before);
+    later_watch
+        .send(endpoint_list(true, 9, &[("a", a, "in_service")]) + "\n")
+        .expect("sent");
+    while client.ask(&["OBJ.GET", "k", "id6", ATTRIBUTES]) != "of a" {}
+    drop(requests);
 }
 
-/// The file is put in its place a moment after the signal, as a replacement in two steps does, or can't be read for that long.
+/// The file is missing when SIGHUP arrives and is put in place 100 ms later, as when it is replaced
+/// in two steps or can't be read for that long. The node has to retry instead of rejecting it.
 #[test]
-fn a_configuration_that_can_not_be_read_for_a_moment_is_read_then() {
-    let addr = free();
+fn missing_configuration_file_is_retried_at_sighup() {
+    let addr = free_address();
     let text = config(&[], &format!(r#""ops":"{addr}","#));
-    let node = Node::with(&text, DESCRIPTORS);
-    let aside = node.file.with_extension("aside");
-    std::fs::rename(&node.file, &aside).expect("moved");
+    let node = Node::with_config(&text, DESCRIPTORS);
+    let aside = node.config_path.with_extension("aside");
+    std::fs::rename(&node.config_path, &aside).expect("moved");
     std::fs::write(&aside, text.replace(r#""view""#, r#""new""#)).expect("written");
     node.signal("-HUP");
     std::thread::sleep(Duration::from_millis(100));
-    std::fs::rename(&aside, &node.file).expect("moved back");
-    let begun = Instant::now();
-    while !operate(addr, "GET /control/counters")
+    std::fs::rename(&aside, &node.config_path).expect("moved back");
+    let started_at = Instant::now();
+    while !admin_call(addr, "GET /control/counters")
         .contains(r#""config_applied":1,"config_rejected":0"#)
     {
         assert!(
-            begun.elapsed() < EVENT_TIMEOUT / 6,
+            started_at.elapsed() < EVENT_TIMEOUT / 6,
             "{}",
-            operate(addr, "GET /control/counters")
+            admin_call(addr, "GET /control/counters")
         );
     }
 }
--- a/crates/node/tests/sockets/crashes.rs
+++ b/crates/node/tests/sockets/crashes.rs
@@ -1,106 +1,119 @@
-//! Processes that die, and connections that end with nothing said.
+//! Processes that die, and connections that close without a command or a response.
 use super::common::*;
 
-/// Ends a connection with a reset, as the death of its process with unread bytes would.
+/// Closes a connection with a reset, as the system does for a process that dies with unread bytes.
 fn reset(stream: TcpStream) {
     let socket = socket2::Socket::from(stream);
     socket.set_linger(Some(Duration::ZERO)).expect("a socket");
 }
 
-/// A node dies with a call open and behind the accept of a client that has said nothing: both see the end at once, the server sees
-/// its attempt go, and the next process serves on the same address.
+/// A node is killed with a call open and with clients that have sent no command. The clients and
+/// the server of the attempt have to see the close at once, and the next process has to serve on
+/// the same address.
 #[test]
-fn after_a_kill_behind_an_accept_the_next_process_serves_on_the_same_address() {
-    let (tell, seen) = channel();
+fn next_process_serves_on_the_address_of_a_killed_one() {
+    let (sender, reports) = channel();
     let mut first = true;
-    let cache = server("a", tell, move |_| match std::mem::take(&mut first) {
-        true => ServerAction::Hold,
+    let cache = server("a", sender, move |_| match std::mem::take(&mut first) {
+        true => ServerAction::Ignore,
         false => hit("v"),
     });
-    let addr = free();
+    let addr = free_address();
     let config = config(&[("a", cache)], "").replacen("127.0.0.1:0", &addr.to_string(), 1);
-    let mut node = Node::with(&config, DESCRIPTORS);
-    let (mut asks, mut silent) = (node.client(), node.client());
+    let mut node = Node::with_config(&config, DESCRIPTORS);
+    let (mut calling, mut silent) = (node.client(), node.client());
     assert_eq!(silent.ask(&["PING"]), "+PONG");
-    asks.send(&command(&["OBJ.GET", "k", "id1", FACTS]));
-    assert_eq!(next(&seen), "a: OBJ.GET k id1");
+    calling.send(&command(&["OBJ.GET", "k", "id1", ATTRIBUTES]));
+    assert_eq!(next_report(&reports), "a: OBJ.GET k id1");
     let mut fresh = node.client();
     node.child.kill().expect("it runs");
-    node.child.wait().expect("an end");
-    assert_eq!(next(&seen), "a: closed");
-    for client in [&mut asks, &mut silent, &mut fresh] {
-        assert_eq!(client.answer(), "closed");
+    node.child.wait().expect("an exit status");
+    assert_eq!(next_report(&reports), "a: closed");
+    for client in [&mut calling, &mut silent, &mut fresh] {
+        assert_eq!(client.response(), "closed");
     }
-    let again = Node::with(&config, DESCRIPTORS);
-    assert_eq!(again.addr, addr);
-    assert_eq!(again.client().ask(&["OBJ.GET", "k", "id2", FACTS]), "v");
+    let restarted = Node::with_config(&config, DESCRIPTORS);
+    assert_eq!(restarted.addr, addr);
+    assert_eq!(
+        restarted.client().ask(&["OBJ.GET", "k", "id2", ATTRIBUTES]),
+        "v"
+    );
 }
 
-/// Servers that die behind the accept, with nothing read or said: a read goes elsewhere, a write that may not be repeated has one
-/// answer and is read by the origin once at the most.
+/// Servers die right after they accept, with nothing read or sent. A read is retried at another
+/// server; a write that may not be repeated gets one response, and the origin reads it once at
+/// most.
 #[test]
-fn a_server_that_dies_behind_an_accept_costs_a_read_nothing_and_a_write_one_answer() {
-    let dies = |times: usize, name: &'static str, seen: Sender<String>| {
+fn server_death_after_accept_repeats_no_write() {
+    let dying_server = |times: usize, name: &'static str, reports: Sender<String>| {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let addr = listener.local_addr().expect("an address");
-        let behind = server(name, seen, |_| http("200 OK", "of the origin"));
+        let backend = server(name, reports, |_| http("200 OK", "of the origin"));
         std::thread::spawn(move || {
             for (count, stream) in listener.incoming().flatten().enumerate() {
                 if count < times {
                     reset(stream);
                     continue;
                 }
-                // From then on it is a server like any other.
-                let to = TcpStream::connect(behind).expect("a connection");
-                let (mut from, mut back) = (stream.try_clone().expect("a socket"), stream);
-                let (mut there, mut answers) = (to.try_clone().expect("a socket"), to);
-                std::thread::spawn(move || std::io::copy(&mut from, &mut there));
-                std::thread::spawn(move || std::io::copy(&mut answers, &mut back));
+                // From then on it forwards to a normal server.
+                let backend_stream = TcpStream::connect(backend).expect("a connection");
+                let (mut from_node, mut to_node) = (stream.try_clone().expect("a socket"), stream);
+                let (mut to_backend, mut from_backend) = (
+                    backend_stream.try_clone().expect("a socket"),
+                    backend_stream,
+                );
+                std::thread::spawn(move || std::io::copy(&mut from_node, &mut to_backend));
+                std::thread::spawn(move || std::io::copy(&mut from_backend, &mut to_node));
             }
         });
         addr
     };
     for round in 0..10 {
-        let (tell, seen) = channel();
-        let cache = dies(usize::MAX, "a", tell.clone());
-        let origin = dies(0, "origin", tell.clone());
+        let (sender, reports) = channel();
+        let cache = dying_server(usize::MAX, "a", sender.clone());
+        let origin = dying_server(0, "origin", sender.clone());
         let node = Node::start(&[("a", cache), ("origin", origin)], "");
         assert_eq!(
-            node.client().ask(&["OBJ.GET", "k", "id1", FACTS]),
+            node.client().ask(&["OBJ.GET", "k", "id1", ATTRIBUTES]),
             "of the origin",
             "round {round}"
         );
-        assert_eq!(next(&seen), "origin: GET /k id1 ");
-        let origin = dies(1, "origin", tell);
+        assert_eq!(next_report(&reports), "origin: GET /k id1 ");
+        let origin = dying_server(1, "origin", sender);
         let node = Node::start(&[("origin", origin)], "");
-        let answer = node
+        let response = node
             .client()
             .ask(&["OBJ.SET", "k", "id2", "c=book,d=30000", "w"]);
-        match answer.as_str() {
-            // Nothing had been written on what broke, so another attempt could do no harm.
-            "of the origin" => assert_eq!(next(&seen), "origin: PUT /k id2 w", "round {round}"),
+        match response.as_str() {
+            // Nothing had been written on the connection that was reset, so a retry was safe.
+            "of the origin" => assert_eq!(
+                next_report(&reports),
+                "origin: PUT /k id2 w",
+                "round {round}"
+            ),
             other => assert!(other.starts_with("-ERR"), "round {round}: {other}"),
         }
         assert!(
-            seen.try_recv().is_err(),
+            reports.try_recv().is_err(),
             "round {round}: a write was read twice"
         );
     }
 }
 
-/// The origin's body has no length and its connection is reset on the way: a reset is no end, so what has come is no value.
+/// The origin sends a body without a length, which ends with the close, and its connection is reset
+/// within the body. A reset is no orderly close, so the part received must not be used as a value.
 #[test]
-fn a_reset_is_no_end_of_a_body_without_a_length() {
-    for (product, repeats) in [("c=view,d=30000", true), ("c=book,d=30000", false)] {
-        let (tell, seen) = channel();
+fn reset_does_not_end_a_body_without_a_length() {
+    for (product, is_repeatable) in [("c=view,d=30000", true), ("c=book,d=30000", false)] {
+        let (sender, reports) = channel();
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let origin = listener.local_addr().expect("an address");
-        let (go, let_go) = channel::<()>();
+        let (release, released) = channel::<()>();
         std::thread::spawn(move || {
             for (count, stream) in listener.incoming().flatten().enumerate() {
                 let mut reader = BufReader::new(stream);
-                while let Some(words) = request(&mut reader) {
-                    let _ = tell.send(words);
+                while let Some(words) = read_request(&mut reader) {
+                    let _ = sender.send(words);
                     if count > 0 {
                         let whole = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole";
                         let _ = reader.get_mut().write_all(whole.as_bytes());
@@ -109,7 +122,7 @@
                     let _ = reader
                         .get_mut()
                         .write_all(b"HTTP/1.1 200 OK\r\n\r\nonly a part");
-                    let _ = let_go.recv_timeout(EVENT_TIMEOUT);
+                    let _ = released.recv_timeout(EVENT_TIMEOUT);
                     reset(reader.into_inner());
                     break;
                 }
@@ -119,25 +132,26 @@
         let (mut client, mut other) = (node.client(), node.client());
         let read = command(&["OBJ.GET", "k", "id", product]);
         let write = command(&["OBJ.SET", "k", "id", product, "w"]);
-        client.send(if repeats { &read } else { &write });
-        let first = next(&seen);
-        // The node reads the part among these.
+        client.send(if is_repeatable { &read } else { &write });
+        let first = next_report(&reports);
+        // The node reads the part of the body during these round trips.
         (0..50).for_each(|_| assert_eq!(other.ask(&["PING"]), "+PONG"));
-        go.send(()).expect("it waits");
-        let answer = client.answer();
-        if repeats {
-            assert_eq!((answer.as_str(), next(&seen)), ("whole", first));
+        release.send(()).expect("the server waits");
+        let response = client.response();
+        if is_repeatable {
+            assert_eq!((response.as_str(), next_report(&reports)), ("whole", first));
         } else {
-            assert!(answer.starts_with("-ERR"), "{answer}");
-            assert!(seen.try_recv().is_err(), "it was sent again");
+            assert!(response.starts_with("-ERR"), "{response}");
+            assert!(reports.try_recv().is_err(), "the write was sent again");
         }
     }
 }
 
-/// Clients that come and go with nothing said, many times as many as there are places and descriptors.
+/// Clients connect and close without a command, many times more than the limits of sockets and
+/// descriptors. A leak of either would leave later clients unserved.
 #[test]
-fn clients_that_close_with_nothing_said_take_no_place() {
-    let (node, _seen) = Setup::new()
+fn clients_that_close_without_a_command_leak_no_slot() {
+    let (node, _reports) = Setup::new()
         .server("a", |_| hit("v"))
         .keys(r#""limits":{"sockets":64,"memory_mb":32},"#)
         .descriptors(128)
@@ -150,32 +164,32 @@
                 _ => reset(client.0.get_ref().try_clone().expect("a socket")),
             }
         }
-        let answer = node
+        let response = node
             .client()
-            .ask(&["OBJ.GET", "k", &format!("id{round}"), FACTS]);
-        assert_eq!(answer, "v", "round {round}");
+            .ask(&["OBJ.GET", "k", &format!("id{round}"), ATTRIBUTES]);
+        assert_eq!(response, "v", "round {round}");
     }
 }
 
-/// More new clients than there are places have sent their commands before the first of them is taken: each has an answer before its
-/// connection is closed for others.
+/// More new clients than the limit of sockets have sent their commands before the first of them is
+/// accepted. Each has to get a response before its connection is closed in favour of others.
 #[test]
-fn no_new_client_of_a_burst_is_closed_with_nothing_said() {
-    let (node, _seen) = Setup::new()
+fn new_clients_of_a_burst_are_closed_only_after_a_response() {
+    let (node, _reports) = Setup::new()
         .server("a", |_| hit("v"))
         .keys(r#""limits":{"sockets":64,"memory_mb":32},"#)
         .start();
-    node.stop();
+    node.suspend();
     let mut clients: Vec<_> = (0..90).map(|_| node.client()).collect();
     for (i, client) in clients.iter_mut().enumerate() {
-        client.send(&command(&["OBJ.GET", "k", &format!("id{i}"), FACTS]));
+        client.send(&command(&["OBJ.GET", "k", &format!("id{i}"), ATTRIBUTES]));
     }
     node.signal("-CONT");
     for (i, client) in clients.iter_mut().enumerate() {
-        let answer = client.answer();
+        let response = client.response();
         assert!(
-            answer == "v" || answer.starts_with("-BUSY"),
-            "client {i}: {answer}"
+            response == "v" || response.starts_with("-BUSY"),
+            "client {i}: {response}"
         );
     }
 }
--- a/crates/node/tests/sockets/discovery.rs
+++ b/crates/node/tests/sockets/discovery.rs
@@ -1,248 +1,256 @@
-//! The watch on the server list.
+//! The watch on the endpoint list.
 use super::common::*;
 
 #[test]
-fn garbled_news_are_asked_for_again_and_a_drain_is_kept() {
-    let (tell, seen) = channel();
-    let a = server("a", tell.clone(), |_| hit("of a"));
-    let b = server("b", tell, |_| hit("of b"));
-    let Watched {
-        addr: from,
+fn malformed_event_is_requested_again_and_drain_is_applied() {
+    let (sender, reports) = channel();
+    let a = server("a", sender.clone(), |_| hit("of a"));
+    let b = server("b", sender, |_| hit("of b"));
+    let WatchedDiscovery {
+        addr: discovery_addr,
         watches: [first, second],
-        asks,
+        requests,
     } = watched_discovery();
-    // A sign of life: the node takes clients once it has heard of discovery.
-    first.send("\n".into()).expect("said");
-    let node = Node::start(&[("a", a)], &format!(r#""discovery":"{from}","#));
+    // A keepalive: the node accepts clients once discovery has responded.
+    first.send("\n".into()).expect("sent");
+    let node = Node::start(&[("a", a)], &format!(r#""discovery":"{discovery_addr}","#));
     let mut client = node.client();
-    assert_eq!(next(&asks), "GET /api/targets?stream=1&index=1 ");
-    assert_eq!(client.ask(&["OBJ.GET", "k", "id1", FACTS]), "of a");
-    // Garbled: what is known stands, and the whole list is asked for.
+    assert_eq!(next_report(&requests), "GET /api/targets?stream=1&index=1 ");
+    assert_eq!(client.ask(&["OBJ.GET", "k", "id1", ATTRIBUTES]), "of a");
+    // Malformed: the known endpoint list stays in force, and the full list is requested.
     first
         .send("{\"version\":2,\"servers\":[{\"id\":\n".into())
-        .expect("said");
+        .expect("sent");
     drop(first);
-    assert_eq!(next(&asks), "GET /api/targets?stream=1&index=0 ");
-    assert_eq!(client.ask(&["OBJ.GET", "k", "id2", FACTS]), "of a");
-    // In two pieces, with signs of life between.
-    let news = list(true, 3, &[("a", a, "terminating"), ("b", b, "in_service")]);
-    let (head, tail) = news.split_at(40);
+    assert_eq!(next_report(&requests), "GET /api/targets?stream=1&index=0 ");
+    assert_eq!(client.ask(&["OBJ.GET", "k", "id2", ATTRIBUTES]), "of a");
+    // A list in two pieces, with keepalives around them.
+    let event = endpoint_list(true, 3, &[("a", a, "terminating"), ("b", b, "in_service")]);
+    let (head, tail) = event.split_at(40);
     [format!("\n\n{head}"), format!("{tail}\n\n")]
         .into_iter()
-        .for_each(|t| second.send(t).expect("said"));
-    let begun = Instant::now();
-    while client.ask(&["OBJ.GET", "k", "id3", FACTS]) != "of b" {
+        .for_each(|t| second.send(t).expect("sent"));
+    let started_at = Instant::now();
+    while client.ask(&["OBJ.GET", "k", "id3", ATTRIBUTES]) != "of b" {
         assert!(
-            begun.elapsed() < EVENT_TIMEOUT,
-            "the list in two pieces is not gone by"
+            started_at.elapsed() < EVENT_TIMEOUT,
+            "the endpoint list in two pieces is not used"
         );
     }
-    seen.try_iter().for_each(drop);
+    reports.try_iter().for_each(drop);
     for _ in 0..50 {
-        assert_eq!(client.ask(&["OBJ.GET", "k", "id4", FACTS]), "of b");
-        assert_eq!(next(&seen), "b: OBJ.GET k id4");
+        assert_eq!(client.ask(&["OBJ.GET", "k", "id4", ATTRIBUTES]), "of b");
+        assert_eq!(next_report(&reports), "b: OBJ.GET k id4");
     }
 }
 
-/// Starts a node with one server, and awaits its first watch.
-fn start_watching(discovery: SocketAddr, asks: &Receiver<String>) -> Node {
-    let (node, _seen) = Setup::new()
+/// Starts a node with one server and waits for its first watch.
+fn start_watching(discovery: SocketAddr, requests: &Receiver<String>) -> Node {
+    let (node, _reports) = Setup::new()
         .server("a", |_| hit("v"))
         .keys(&format!(r#""discovery":"{discovery}","#))
         .start();
-    assert_eq!(next(asks), "GET /api/targets?stream=1&index=1 ");
+    assert_eq!(next_report(requests), "GET /api/targets?stream=1&index=1 ");
     node
 }
 
 #[test]
-fn a_silent_discovery_is_asked_again() {
-    // Both say nothing for as long as their senders are there.
-    let Watched {
-        addr: from,
+fn silent_watch_is_replaced() {
+    // Both watches stay open and silent for as long as their senders exist.
+    let WatchedDiscovery {
+        addr: discovery_addr,
         watches: [_first, _second],
-        asks,
+        requests,
     } = watched_discovery();
-    let node = start_watching(from, &asks);
-    assert_eq!(node.client().ask(&["OBJ.GET", "k", "id", FACTS]), "v");
-    assert_eq!(next(&asks), "GET /api/targets?stream=1&index=1 ");
+    let node = start_watching(discovery_addr, &requests);
+    assert_eq!(node.client().ask(&["OBJ.GET", "k", "id", ATTRIBUTES]), "v");
+    assert_eq!(next_report(&requests), "GET /api/targets?stream=1&index=1 ");
 }
 
-/// A watch may fall silent before its first byte, in its head, within a line, or end in a reset: each time another is
-/// asked for, from where the news had got to, and the drain that it tells is kept.
+/// A watch falls silent before its first byte, in its head or within a line, or it ends after a
+/// line. Each time the node has to start another watch from the last version received, and apply
+/// the drain that the last one reports.
 #[test]
-fn a_watch_that_falls_silent_at_any_point_is_begun_anew() {
-    let (tell, seen) = channel();
-    let a = server("a", tell.clone(), |_| hit("of a"));
-    let b = server("b", tell, |_| hit("of b"));
-    let (asked, asks) = channel();
+fn watch_silent_at_any_point_is_replaced() {
+    let (sender, reports) = channel();
+    let a = server("a", sender.clone(), |_| hit("of a"));
+    let b = server("b", sender, |_| hit("of b"));
+    let (request_sender, requests) = channel();
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let from = listener.local_addr().expect("an address");
+    let discovery_addr = listener.local_addr().expect("an address");
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let chunk = |text: &str| format!("{head}{:x}\r\n{text}\r\n", text.len());
-    let news = list(true, 4, &[("a", a, "terminating"), ("b", b, "in_service")]) + "\n";
-    let unchanged = list(false, 2, &[]) + "\n";
-    let says = [
+    let drain = endpoint_list(true, 4, &[("a", a, "terminating"), ("b", b, "in_service")]) + "\n";
+    let unchanged = endpoint_list(false, 2, &[]) + "\n";
+    let messages = [
         "".into(),
         head[..20].into(),
-        chunk(&news[..30]),
+        chunk(&drain[..30]),
         chunk(&unchanged),
-        chunk(&news),
+        chunk(&drain),
     ]
     .map(Some);
     std::thread::spawn(move || {
-        let mut held = Vec::new();
-        for (number, (stream, mut says)) in listener.incoming().flatten().zip(says).enumerate() {
+        let mut open_watches = Vec::new();
+        for (index, (stream, mut messages)) in
+            listener.incoming().flatten().zip(messages).enumerate()
+        {
             let mut reader = BufReader::new(stream);
-            let _ = asked.send(request(&mut reader).unwrap_or_default());
+            let _ = request_sender.send(read_request(&mut reader).unwrap_or_default());
             let _ = reader
                 .get_mut()
-                .write_all(says.take().unwrap_or_default().as_bytes());
-            // The fourth ends behind its line, the others stay open and say no more.
-            if number != 3 {
-                held.push(reader);
+                .write_all(messages.take().unwrap_or_default().as_bytes());
+            // The fourth watch ends after its line; the others stay open and silent.
+            if index != 3 {
+                open_watches.push(reader);
             }
         }
         std::thread::park();
     });
-    let node = Node::start(&[("a", a)], &format!(r#""discovery":"{from}","#));
+    let node = Node::start(&[("a", a)], &format!(r#""discovery":"{discovery_addr}","#));
     for index in [1, 1, 1, 1, 2] {
         assert_eq!(
-            next(&asks),
+            next_report(&requests),
             format!("GET /api/targets?stream=1&index={index} ")
         );
     }
     let mut client = node.client();
-    while client.ask(&["OBJ.GET", "k", "id", FACTS]) != "of b" {}
-    seen.try_iter().for_each(drop);
-    assert_eq!(client.ask(&["OBJ.GET", "k", "last", FACTS]), "of b");
-    assert_eq!(next(&seen), "b: OBJ.GET k last");
+    while client.ask(&["OBJ.GET", "k", "id", ATTRIBUTES]) != "of b" {}
+    reports.try_iter().for_each(drop);
+    assert_eq!(client.ask(&["OBJ.GET", "k", "last", ATTRIBUTES]), "of b");
+    assert_eq!(next_report(&reports), "b: OBJ.GET k last");
 }
 
 #[test]
-fn news_without_end_are_given_up_and_asked_for_again() {
-    let Watched {
-        addr: from,
+fn endless_line_is_abandoned_and_requested_again() {
+    let WatchedDiscovery {
+        addr: discovery_addr,
         watches: [first, _second],
-        asks,
+        requests,
     } = watched_discovery();
-    let node = start_watching(from, &asks);
-    (0..40).for_each(|_| first.send(" ".repeat(64 * 1024)).expect("said"));
-    assert_eq!(next(&asks), "GET /api/targets?stream=1&index=1 ");
-    assert_eq!(node.client().ask(&["OBJ.GET", "k", "id", FACTS]), "v");
+    let node = start_watching(discovery_addr, &requests);
+    (0..40).for_each(|_| first.send(" ".repeat(64 * 1024)).expect("sent"));
+    assert_eq!(next_report(&requests), "GET /api/targets?stream=1&index=1 ");
+    assert_eq!(node.client().ask(&["OBJ.GET", "k", "id", ATTRIBUTES]), "v");
 }
 
 #[test]
-fn sighup_moves_discovery_and_drops_no_call_and_a_faulty_file_changes_nothing() {
-    let (tell, seen) = channel();
-    let (free, held) = channel();
-    let mut held = Some(held);
-    let a = server("a", tell.clone(), move |words| {
-        match held.take_if(|_| words.ends_with("id1")) {
-            Some(held) => ServerAction::SayAfter(held, found("of a")),
+fn sighup_moves_discovery_and_ignores_a_faulty_file() {
+    let (sender, reports) = channel();
+    let (release, released) = channel();
+    let mut released = Some(released);
+    let a = server("a", sender.clone(), move |words| {
+        match released.take_if(|_| words.ends_with("id1")) {
+            Some(released) => ServerAction::RespondOnRelease(released, hit_bytes("of a")),
             None => hit("of a"),
         }
     });
-    let b = server("b", tell, |_| hit("of b"));
-    let (_first, first_says) = channel();
-    let (second, second_says) = channel();
-    let (asked, asks) = channel();
-    let [old, new] = [first_says, second_says].map(|says| discovery(vec![says], asked.clone()));
+    let b = server("b", sender, |_| hit("of b"));
+    let (_first, first_messages) = channel();
+    let (second, second_messages) = channel();
+    let (request_sender, requests) = channel();
+    let [old, new] = [first_messages, second_messages]
+        .map(|messages| discovery(vec![messages], request_sender.clone()));
     let known = [("a", a)];
     let mut node = Node::start(&known, &format!(r#""discovery":"{old}","#));
     let (mut client, mut other) = (node.client(), node.client());
-    assert_eq!(next(&asks), "GET /api/targets?stream=1&index=1 ");
-    client.send(&command(&["OBJ.GET", "k", "id1", FACTS]));
-    assert_eq!(next(&seen), "a: OBJ.GET k id1");
-    let mut again = |text: &str, says: &str| {
-        std::fs::write(&node.file, text).expect("a new file");
+    assert_eq!(next_report(&requests), "GET /api/targets?stream=1&index=1 ");
+    client.send(&command(&["OBJ.GET", "k", "id1", ATTRIBUTES]));
+    assert_eq!(next_report(&reports), "a: OBJ.GET k id1");
+    let mut reload_with = |text: &str, line: &str| {
+        std::fs::write(&node.config_path, text).expect("a new file");
         node.signal("-HUP");
-        node.says(says);
+        node.await_log(line);
     };
-    let moved = format!(r#""discovery":"{new}","#);
-    let cut = config(&known, &moved);
-    again(&cut[..cut.len() / 2], "; the previous one stays in force");
-    again(
+    let moved_key = format!(r#""discovery":"{new}","#);
+    let truncated = config(&known, &moved_key);
+    reload_with(
+        &truncated[..truncated.len() / 2],
+        "; the previous one stays in force",
+    );
+    reload_with(
         &config(&known, r#""discovery":"here","#),
         "discovery: \"here\" is not an address",
     );
-    assert_eq!(other.ask(&["OBJ.GET", "k", "id2", FACTS]), "of a");
-    again(
-        &config(&known, &(moved + r#""limits":{"sockets":99},"#)),
+    assert_eq!(other.ask(&["OBJ.GET", "k", "id2", ATTRIBUTES]), "of a");
+    reload_with(
+        &config(&known, &(moved_key + r#""limits":{"sockets":99},"#)),
         "limits: takes effect at a restart only",
     );
-    assert_eq!(next(&asks), "GET /api/targets?stream=1&index=0 ");
+    assert_eq!(next_report(&requests), "GET /api/targets?stream=1&index=0 ");
     second
-        .send(list(true, 1, &[("a", a, "terminating"), ("b", b, "in_service")]) + "\n")
-        .expect("said");
-    while other.ask(&["OBJ.GET", "k", "id3", FACTS]) != "of b" {}
-    free.send(()).expect("freed");
-    assert_eq!(client.answer(), "of a");
+        .send(endpoint_list(true, 1, &[("a", a, "terminating"), ("b", b, "in_service")]) + "\n")
+        .expect("sent");
+    while other.ask(&["OBJ.GET", "k", "id3", ATTRIBUTES]) != "of b" {}
+    release.send(()).expect("released");
+    assert_eq!(client.response(), "of a");
 }
 
-/// A watch may live and say nothing: bytes come, but no line ends; and the head of one never ends. Each is given up, and what was
-/// missed meanwhile is told by the next.
+/// Bytes keep arriving on a watch, but no line ends; on another one the head never ends. Each has
+/// to be abandoned, and the next watch reports what was missed.
 #[test]
-fn a_watch_on_which_no_line_ends_is_begun_anew_however_much_comes() {
-    let (tell, seen) = channel();
-    let a = server("a", tell.clone(), |_| hit("of a"));
-    let b = server("b", tell, |_| hit("of b"));
+fn watch_without_a_line_end_is_replaced() {
+    let (sender, reports) = channel();
+    let a = server("a", sender.clone(), |_| hit("of a"));
+    let b = server("b", sender, |_| hit("of b"));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let from = listener.local_addr().expect("an address");
-    let (asked, asks) = channel();
+    let discovery_addr = listener.local_addr().expect("an address");
+    let (request_sender, requests) = channel();
     std::thread::spawn(move || {
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
-        let first =
-            chunk(&(list(true, 5, &[("a", a, "in_service"), ("b", b, "in_service")]) + "\n"));
-        let drain = chunk(&(list(false, 6, &[("a", a, "terminating")]) + "\n"));
-        let begins = [
-            format!("{head}{first}"),
+        let full_list = chunk(
+            &(endpoint_list(true, 5, &[("a", a, "in_service"), ("b", b, "in_service")]) + "\n"),
+        );
+        let drain = chunk(&(endpoint_list(false, 6, &[("a", a, "terminating")]) + "\n"));
+        let beginnings = [
+            format!("{head}{full_list}"),
             "HTTP/1.1 200 OK\r\nX-Slow: ".to_owned(),
             format!("{head}{drain}"),
         ];
-        let goes_on = [chunk(" "), "x".to_owned(), chunk("\n")];
-        for (stream, (begin, more)) in listener
+        let continuations = [chunk(" "), "x".to_owned(), chunk("\n")];
+        for (stream, (beginning, continuation)) in listener
             .incoming()
             .flatten()
-            .zip(begins.into_iter().zip(goes_on))
+            .zip(beginnings.into_iter().zip(continuations))
         {
-            let asked = asked.clone();
+            let request_sender = request_sender.clone();
             std::thread::spawn(move || {
                 let mut reader = BufReader::new(stream);
-                let _ = asked.send(request(&mut reader).unwrap_or_default());
+                let _ = request_sender.send(read_request(&mut reader).unwrap_or_default());
                 let stream = reader.get_mut();
-                let mut goes_on = stream.write_all(begin.as_bytes());
-                // A byte now and then, up to the node's close.
-                while goes_on.is_ok() {
+                let mut written = stream.write_all(beginning.as_bytes());
+                // A few bytes every 50 ms, until the node closes the connection.
+                while written.is_ok() {
                     std::thread::sleep(Duration::from_millis(50));
-                    goes_on = stream.write_all(more.as_bytes());
+                    written = stream.write_all(continuation.as_bytes());
                 }
             });
         }
     });
-    let node = Node::start(&[("a", a)], &format!(r#""discovery":"{from}","#));
-    assert_eq!(next(&asks), "GET /api/targets?stream=1&index=1 ");
-    assert_eq!(next(&asks), "GET /api/targets?stream=1&index=5 ");
-    assert_eq!(next(&asks), "GET /api/targets?stream=1&index=5 ");
+    let node = Node::start(&[("a", a)], &format!(r#""discovery":"{discovery_addr}","#));
+    assert_eq!(next_report(&requests), "GET /api/targets?stream=1&index=1 ");
+    assert_eq!(next_report(&requests), "GET /api/targets?stream=1&index=5 ");
+    assert_eq!(next_report(&requests), "GET /api/targets?stream=1&index=5 ");
     let mut client = node.client();
-    let (mut at_b, mut asked) = (0, 0);
-    // The drain has been told on the third: soon nothing goes to it any more.
-    while at_b < 100 {
-        asked += 1;
-        assert!(asked < 5_000, "a is still asked");
+    let (mut in_a_row_at_b, mut call_count) = (0, 0);
+    // The third watch reports the drain: soon no request goes to `a`.
+    while in_a_row_at_b < 100 {
+        call_count += 1;
+        assert!(call_count < 5_000, "a still gets requests");
         assert_eq!(
             client
                 .ask(&[
                     "OBJ.GET",
-                    &format!("k{asked}"),
-                    &format!("id{asked}"),
-                    FACTS
+                    &format!("k{call_count}"),
+                    &format!("id{call_count}"),
+                    ATTRIBUTES
                 ])
                 .len(),
             4
         );
-        at_b = if next(&seen).starts_with("b:") {
-            at_b + 1
+        in_a_row_at_b = if next_report(&reports).starts_with("b:") {
+            in_a_row_at_b + 1
         } else {
             0
         };
--- a/crates/node/tests/sockets/main.rs
+++ b/crates/node/tests/sockets/main.rs
@@ -1,4 +1,4 @@
-//! Starts the program and speaks to it over sockets.
+//! Tests that run the program and talk to it over sockets.
 mod admin;
 mod calls;
 mod cancelled_attempts;
--- a/crates/node/tests/sockets/queueing_time.rs
+++ b/crates/node/tests/sockets/queueing_time.rs
@@ -1,41 +1,50 @@
-//! The time that an attempt tells its server, where its command lay somewhere before the node took it up.
+//! The timeout that an attempt passes to its server, for commands that were queued before the node
+//! accepted them.
 use super::common::*;
-use super::remaining_time::{told, told_in, told_to_cache, told_to_origin, GIVEN};
+use super::remaining_time::{
+    next_timeout_ms, read_cache_timeout, read_origin_timeout, reported_timeout_ms,
+    CLIENT_TIMEOUT_MS,
+};
 use super::syscalls::node_with;
 
-/// How long a test holds a command back, and what a node may tell too much.
-const HELD: Duration = Duration::from_millis(600);
-const SLACK: u64 = 150;
+/// How long a test delays a command.
+const HOLD_DURATION: Duration = Duration::from_millis(600);
+/// By how much a timeout may exceed the remaining time.
+const TOLERANCE_MS: u64 = 150;
 
-fn most_left() -> u64 {
-    GIVEN - HELD.as_millis() as u64 + SLACK
+/// Largest timeout that may be passed on after a command was delayed, in milliseconds.
+fn max_remaining_ms() -> u64 {
+    CLIENT_TIMEOUT_MS - HOLD_DURATION.as_millis() as u64 + TOLERANCE_MS
 }
 
-/// For a time all accepts fail, so a client waits in the listen queue with its command sent.
+/// All accepts fail for a while, so a client that has sent its command waits in the listen queue.
 #[test]
-fn a_command_in_the_listen_queue_tells_what_is_left() {
-    let (tell, seen) = channel();
-    let cache = server_reading("a", tell, told_to_cache, |_| hit("v"));
-    // ENFILE: 40 pauses of 20 ms are more than the time above.
+fn timeout_excludes_time_in_the_listen_queue() {
+    let (sender, reports) = channel();
+    let cache = server_reading("a", sender, read_cache_timeout, |_| hit("v"));
+    // 23 is ENFILE: 40 retries after 20 ms each take longer than `HOLD_DURATION`.
     let node = node_with("accept4:23:1:40:1", &[("a", cache)], "");
     let mut client = node.client();
-    client.send(&command(&["OBJ.GET", "k", "id1", FACTS]));
-    assert!(told(&seen, "a: id1") <= most_left());
-    assert_eq!(client.answer(), "v");
-    // One that comes when nothing is held back loses nothing by that.
-    let mut next_one = node.client();
-    next_one.send(&command(&["OBJ.GET", "k", "id2", FACTS]));
-    let wait = told(&seen, "a: id2");
-    assert!(wait > GIVEN - SLACK, "{wait} ms told");
+    client.send(&command(&["OBJ.GET", "k", "id1", ATTRIBUTES]));
+    assert!(next_timeout_ms(&reports, "a: id1") <= max_remaining_ms());
+    assert_eq!(client.response(), "v");
+    // A later command that is not delayed has its full timeout.
+    let mut undelayed = node.client();
+    undelayed.send(&command(&["OBJ.GET", "k", "id2", ATTRIBUTES]));
+    let timeout_ms = next_timeout_ms(&reports, "a: id2");
+    assert!(
+        timeout_ms > CLIENT_TIMEOUT_MS - TOLERANCE_MS,
+        "a timeout of {timeout_ms} ms"
+    );
 }
 
-/// Two writes leave no room for a third, which lies whole in the system meanwhile.
+/// Two writes use up the memory, so a third one stays unread in the socket buffers meanwhile.
 #[test]
-fn a_large_command_that_waits_for_room_tells_what_is_left() {
-    let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv".to_vec();
-    let (free, script) = first_when_freed(answer, |_| ServerAction::Hold);
-    let (node, seen) = Setup::new()
-        .server_reading("origin", told_to_origin, script)
+fn timeout_excludes_time_waiting_for_memory() {
+    let response = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv".to_vec();
+    let (release, script) = hold_first_response(response, |_| ServerAction::Ignore);
+    let (node, reports) = Setup::new()
+        .server_reading("origin", read_origin_timeout, script)
         .keys(r#""limits":{"memory_mb":16},"#)
         .start();
     let mut clients = [node.client(), node.client(), node.client()];
@@ -46,51 +55,52 @@
         let (id, value) = (format!("id{i}"), "w".repeat(size));
         clients[i].send(&command(&["OBJ.SET", "k", &id, "c=book,d=30000", &value]));
         if i < 2 {
-            assert!(told(&seen, &format!("origin: {id}")) <= GIVEN);
+            assert!(next_timeout_ms(&reports, &format!("origin: {id}")) <= CLIENT_TIMEOUT_MS);
         }
     }
-    std::thread::sleep(HELD);
-    free.send(()).expect("freed");
-    assert_eq!(clients[0].answer(), "v");
-    assert!(told(&seen, "origin: id2") <= most_left());
+    std::thread::sleep(HOLD_DURATION);
+    release.send(()).expect("released");
+    assert_eq!(clients[0].response(), "v");
+    assert!(next_timeout_ms(&reports, "origin: id2") <= max_remaining_ms());
 }
 
-/// 128 answers are open, and more commands lie behind them than the node reads ahead.
+/// 128 responses are open, and more commands are queued behind them than the node reads ahead.
 #[test]
-fn a_command_unread_behind_many_others_tells_what_is_left() {
-    let (free, script) = first_when_freed(found("first"), |_| hit("v"));
-    let (node, seen) = Setup::new()
-        .server_reading("a", told_to_cache, script)
+fn timeout_excludes_time_unread_behind_other_commands() {
+    let (release, script) = hold_first_response(hit_bytes("first"), |_| hit("v"));
+    let (node, reports) = Setup::new()
+        .server_reading("a", read_cache_timeout, script)
         .start();
     let mut client = node.client();
-    let mut bytes = command(&["OBJ.GET", "k", "id0", FACTS]);
+    let mut bytes = command(&["OBJ.GET", "k", "id0", ATTRIBUTES]);
     bytes.extend(command(&["PING"]).repeat(127));
     for i in 1..=40 {
         bytes.extend(command(&[
             "OBJ.GET",
             &format!("{i}{}", "k".repeat(1000)),
             &format!("id{i}"),
-            FACTS,
+            ATTRIBUTES,
         ]));
     }
     client.send(&bytes);
-    assert!(told(&seen, "a: id0") <= GIVEN);
-    std::thread::sleep(HELD);
-    free.send(()).expect("freed");
-    let mut most = 0;
+    assert!(next_timeout_ms(&reports, "a: id0") <= CLIENT_TIMEOUT_MS);
+    std::thread::sleep(HOLD_DURATION);
+    release.send(()).expect("released");
+    let mut max_timeout_ms = 0;
     for _ in 1..=40 {
-        most = most.max(told_in(&next(&seen)));
+        max_timeout_ms = max_timeout_ms.max(reported_timeout_ms(&next_report(&reports)));
     }
     assert!(
-        most <= most_left(),
-        "{most} ms told, {} left",
-        most_left() - SLACK
+        max_timeout_ms <= max_remaining_ms(),
+        "a timeout of {max_timeout_ms} ms, {} ms left",
+        max_remaining_ms() - TOLERANCE_MS
     );
 }
 
-/// A server begins a command with its last byte: what was told with the first must still be left then.
+/// A server begins to execute a command at its last byte, so the timeout that was sent with the
+/// first byte must not exceed the time left by then.
 #[test]
-fn a_large_value_that_goes_out_in_pieces_tells_what_is_left_at_its_last_byte() {
+fn timeout_of_a_large_value_excludes_its_sending_time() {
     let value = "w".repeat(1024 * 1024);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     socket2::SockRef::from(&listener)
@@ -102,30 +112,30 @@
     );
     let mut client = node.client();
     client.send(&command(&["OBJ.SET", "k", "id", "c=book,d=30000", &value]));
-    let whole = Instant::now();
+    let sent_at = Instant::now();
     let (stream, _) = listener.accept().expect("a connection");
     stream
         .set_read_timeout(Some(EVENT_TIMEOUT))
-        .expect("a time limit");
+        .expect("a timeout");
     let mut reader = BufReader::with_capacity(1024, stream);
-    let mut wait = None;
-    while let Some(field) = line(&mut reader).filter(|field| !field.is_empty()) {
-        wait = wait.or(field
+    let mut timeout_ms = None;
+    while let Some(field) = read_line(&mut reader).filter(|field| !field.is_empty()) {
+        timeout_ms = timeout_ms.or(field
             .strip_prefix("X-Facts: ")
-            .and_then(super::remaining_time::wait));
+            .and_then(super::remaining_time::timeout_ms_in));
     }
     for piece in value.as_bytes().chunks(value.len() / 6 + 1) {
-        std::thread::sleep(HELD / 6);
-        bytes(&mut reader, piece.len()).expect("a piece");
+        std::thread::sleep(HOLD_DURATION / 6);
+        read_text(&mut reader, piece.len()).expect("a piece");
     }
-    let left = GIVEN - whole.elapsed().as_millis() as u64;
+    let remaining_ms = CLIENT_TIMEOUT_MS - sent_at.elapsed().as_millis() as u64;
     assert!(
-        wait.is_some_and(|wait| wait <= left + SLACK),
-        "{wait:?} told, {left} left"
+        timeout_ms.is_some_and(|timeout_ms| timeout_ms <= remaining_ms + TOLERANCE_MS),
+        "a timeout of {timeout_ms:?} ms, {remaining_ms} ms left"
     );
     reader
         .get_mut()
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv")
         .expect("answered");
-    assert_eq!(client.answer(), "v");
+    assert_eq!(client.response(), "v");
 }
--- a/crates/node/tests/sockets/socket_activation.rs
+++ b/crates/node/tests/sockets/socket_activation.rs
@@ -1,62 +1,62 @@
-//! Nodes that inherit their listening socket: a new version takes over from an old one.
+//! Nodes that inherit their listening socket, so that a new process takes over from an old one.
 use super::common::*;
 
 #[test]
-fn a_new_version_takes_over_on_the_same_socket_and_no_call_is_lost() {
-    let (tell, seen) = channel();
-    let (free_it, held) = channel();
-    let mut held = Some(held);
-    let cache = server("a", tell, move |words| {
-        match held.take_if(|_| words.ends_with("id1")) {
-            Some(held) => ServerAction::SayAfter(held, found("slow")),
+fn new_process_takes_over_the_socket_without_losing_a_call() {
+    let (sender, reports) = channel();
+    let (release, released) = channel();
+    let mut released = Some(released);
+    let cache = server("a", sender, move |words| {
+        match released.take_if(|_| words.ends_with("id1")) {
+            Some(released) => ServerAction::RespondOnRelease(released, hit_bytes("slow")),
             None => hit("v"),
         }
     });
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let config = config(&[("a", cache)], "");
-    let (first, second) = (free(), free());
-    let mut old = node_inheriting(&listener, &config, first);
+    let (old_ops, new_ops) = (free_address(), free_address());
+    let mut old = node_inheriting(&listener, &config, old_ops);
     let (mut busy, mut idle) = (old.client(), old.client());
     assert_eq!(idle.ask(&["PING"]), "+PONG");
-    busy.send(&command(&["OBJ.GET", "k1", "id1", FACTS]));
-    assert_eq!(next(&seen), "a: OBJ.GET k1 id1");
-    let new = node_inheriting(&listener, &config, second);
+    busy.send(&command(&["OBJ.GET", "k1", "id1", ATTRIBUTES]));
+    assert_eq!(next_report(&reports), "a: OBJ.GET k1 id1");
+    let new = node_inheriting(&listener, &config, new_ops);
     old.signal("-TERM");
-    // The idle client is let go; the one at work gets its answer first.
-    assert_eq!(idle.answer(), "closed");
-    let mut fresh = new.client();
-    assert_eq!(fresh.ask(&["OBJ.GET", "k1", "id2", FACTS]), "v");
-    free_it.send(()).expect("the server waits");
+    // The idle client is closed; the one with an open call gets its response first.
+    assert_eq!(idle.response(), "closed");
+    let mut new_client = new.client();
+    assert_eq!(new_client.ask(&["OBJ.GET", "k1", "id2", ATTRIBUTES]), "v");
+    release.send(()).expect("the server waits");
     assert_eq!(
-        (busy.answer(), busy.answer()),
+        (busy.response(), busy.response()),
         ("slow".into(), "closed".into())
     );
-    assert!(old.child.wait().expect("an end").success());
-    assert_eq!(fresh.ask(&["OBJ.GET", "k1", "id3", FACTS]), "v");
-    assert_eq!(operate(second, "GET /control/ready"), "200 OK: ready");
+    assert!(old.child.wait().expect("an exit status").success());
+    assert_eq!(new_client.ask(&["OBJ.GET", "k1", "id3", ATTRIBUTES]), "v");
+    assert_eq!(admin_call(new_ops, "GET /control/ready"), "200 OK: ready");
 }
 
 #[test]
-fn an_inherited_descriptor_that_is_no_listening_socket_is_told() {
+fn inherited_descriptor_must_be_a_listening_socket() {
     let file = config_file(&config(&[], ""));
-    let mut told = String::new();
+    let mut results = String::new();
     for (number, setup) in [("9", ""), ("4", "exec 4</dev/null;"), ("x", ""), ("2", "")] {
         let script = format!("{setup} exec \"$0\"");
-        let done = Command::new("sh")
+        let output = Command::new("sh")
             .args(["-c", &script, env!("CARGO_BIN_EXE_quartzhub")])
             .env("LB_INHERITED_FD", number)
             .env("LB_CONFIG", &file)
             .output()
             .expect("the program runs");
-        let log = String::from_utf8_lossy(&done.stderr).into_owned();
-        let said = log
+        let log = String::from_utf8_lossy(&output.stderr).into_owned();
+        let message = log
             .lines()
             .last()
             .unwrap_or_default()
             .rsplit("descriptor")
             .next()
             .unwrap_or_default();
-        told += &format!("{number}: {}, {said}\n", done.status.success());
+        results += &format!("{number}: {}, {message}\n", output.status.success());
     }
     let _ = std::fs::remove_file(&file);
     expect_test::expect![[r#"
@@ -65,45 +65,46 @@
         x: false, 
         2: false, 
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&results);
 }
 
 #[test]
-fn an_upgrade_of_a_node_out_of_service_and_a_reload_amid_it() {
-    let (tell, _seen) = channel();
-    let cache = server("a", tell, |_| hit("v"));
+fn node_out_of_service_is_replaced_during_a_reload() {
+    let (sender, _reports) = channel();
+    let cache = server("a", sender, |_| hit("v"));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let text = config(&[("a", cache)], "");
-    let (first, second) = (free(), free());
-    let mut old = node_inheriting(&listener, &text, first);
-    let mut kept = old.client();
-    assert_eq!(kept.ask(&["OBJ.GET", "k1", "id1", FACTS]), "v");
+    let (old_ops, new_ops) = (free_address(), free_address());
+    let mut old = node_inheriting(&listener, &text, old_ops);
+    let mut kept_client = old.client();
+    assert_eq!(kept_client.ask(&["OBJ.GET", "k1", "id1", ATTRIBUTES]), "v");
     assert_eq!(
-        operate(first, "POST /control/out-of-service"),
+        admin_call(old_ops, "POST /control/out-of-service"),
         "200 OK: out of service"
     );
-    assert_eq!(kept.answer(), "closed");
-    // The new process knows nothing of the drain: it is in service, and so is the node.
-    let new = node_inheriting(&listener, &text, second);
-    let other = text.replace(r#""view""#, r#""new""#);
+    assert_eq!(kept_client.response(), "closed");
+    // The new process does not know that the old one was out of service, so the node is back in
+    // service.
+    let new = node_inheriting(&listener, &text, new_ops);
+    let new_config = text.replace(r#""view""#, r#""new""#);
     for node in [&old, &new] {
-        std::fs::write(&node.file, &other).expect("written");
+        std::fs::write(&node.config_path, &new_config).expect("written");
         node.signal("-HUP");
     }
-    let begun = std::time::Instant::now();
-    while [first, second]
+    let started_at = std::time::Instant::now();
+    while [old_ops, new_ops]
         .iter()
-        .any(|addr| !operate(*addr, "GET /control/counters").contains(r#""config_applied":1"#))
+        .any(|addr| !admin_call(*addr, "GET /control/counters").contains(r#""config_applied":1"#))
     {
-        assert!(begun.elapsed() < EVENT_TIMEOUT, "no reload");
+        assert!(started_at.elapsed() < EVENT_TIMEOUT, "no reload");
     }
     old.signal("-TERM");
-    assert!(old.child.wait().expect("an end").success());
+    assert!(old.child.wait().expect("an exit status").success());
     let mut client = new.client();
     assert_eq!(client.ask(&["PING"]), "+PONG");
     assert_eq!(client.ask(&["OBJ.GET", "k1", "id2", "c=new,d=30000"]), "v");
     assert_eq!(
-        client.ask(&["OBJ.GET", "k1", "id3", FACTS]),
+        client.ask(&["OBJ.GET", "k1", "id3", ATTRIBUTES]),
         "-ERR no such product"
     );
 }
--- a/crates/node/tests/sockets/stall.rs
+++ b/crates/node/tests/sockets/stall.rs
@@ -1,60 +1,66 @@
-//! A process that stood still.
+//! Commands that arrive while the process is stalled.
 use super::common::*;
 
 #[test]
-fn what_came_while_the_process_stood_still_too_long_is_turned_away_unsent() {
-    let (node, seen) = Setup::new().server("a", |_| hit("v")).start();
+fn command_expired_during_a_stall_is_rejected_unsent() {
+    let (node, reports) = Setup::new().server("a", |_| hit("v")).start();
     let mut client = node.client();
-    assert_eq!(client.ask(&["OBJ.GET", "k", "id1", FACTS]), "v");
-    assert_eq!(next(&seen), "a: OBJ.GET k id1");
-    node.stop();
+    assert_eq!(client.ask(&["OBJ.GET", "k", "id1", ATTRIBUTES]), "v");
+    assert_eq!(next_report(&reports), "a: OBJ.GET k id1");
+    node.suspend();
     client.send(&command(&["OBJ.GET", "k", "id2", "c=view,d=300"]));
-    // The client's wait passes: time is what this is about.
+    // Longer than the client timeout of 300 ms.
     std::thread::sleep(Duration::from_millis(400));
     node.signal("-CONT");
-    assert!(client.answer().starts_with('-'));
-    assert_eq!(client.ask(&["OBJ.GET", "k", "id3", FACTS]), "v");
-    assert_eq!(next(&seen), "a: OBJ.GET k id3");
+    assert!(client.response().starts_with('-'));
+    assert_eq!(client.ask(&["OBJ.GET", "k", "id3", ATTRIBUTES]), "v");
+    assert_eq!(next_report(&reports), "a: OBJ.GET k id3");
 }
 
 #[test]
-fn for_clients_that_left_while_the_process_stood_still_nothing_is_sent() {
-    let (node, seen) = Setup::new().server("a", |_| hit("v")).start();
-    let mut stays = node.client();
-    assert_eq!(stays.ask(&["OBJ.GET", "k", "id", FACTS]), "v");
-    assert_eq!(next(&seen), "a: OBJ.GET k id");
-    let mut leave: Vec<_> = (0..50).map(|_| node.client()).collect();
-    leave
+fn clients_disconnected_during_a_stall_cause_no_request() {
+    let (node, reports) = Setup::new().server("a", |_| hit("v")).start();
+    let mut staying = node.client();
+    assert_eq!(staying.ask(&["OBJ.GET", "k", "id", ATTRIBUTES]), "v");
+    assert_eq!(next_report(&reports), "a: OBJ.GET k id");
+    let mut disconnecting: Vec<_> = (0..50).map(|_| node.client()).collect();
+    disconnecting
         .iter_mut()
         .for_each(|client| assert_eq!(client.ask(&["PING"]), "+PONG"));
-    node.stop();
-    for (i, client) in leave.iter_mut().enumerate() {
-        client.send(&command(&["OBJ.GET", "k", &format!("gone{i}"), FACTS]));
+    node.suspend();
+    for (i, client) in disconnecting.iter_mut().enumerate() {
+        client.send(&command(&["OBJ.GET", "k", &format!("gone{i}"), ATTRIBUTES]));
     }
-    drop(leave);
-    // Long enough to be seen as a stall.
+    drop(disconnecting);
+    // Long enough to be detected as a stall.
     std::thread::sleep(Duration::from_millis(100));
     node.signal("-CONT");
-    assert_eq!(stays.ask(&["OBJ.GET", "k", "last", FACTS]), "v");
-    assert_eq!(next(&seen), "a: OBJ.GET k last");
+    assert_eq!(staying.ask(&["OBJ.GET", "k", "last", ATTRIBUTES]), "v");
+    assert_eq!(next_report(&reports), "a: OBJ.GET k last");
 }
 
-/// A command and the end behind it come together, with no stall long enough to be taken for one.
+/// A command arrives together with the close of its connection, in a pause too short to be detected
+/// as a stall.
 #[test]
-fn a_command_whose_client_has_left_behind_it_is_not_sent_on() {
-    let (node, seen) = Setup::new().server("a", |_| hit("v")).start();
-    let mut stays = node.client();
+fn command_followed_by_a_disconnect_is_not_sent() {
+    let (node, reports) = Setup::new().server("a", |_| hit("v")).start();
+    let mut staying = node.client();
     for round in 0..20 {
-        let mut leaves = node.client();
-        assert_eq!(leaves.ask(&["PING"]), "+PONG");
-        node.stop();
-        leaves.send(&command(&["OBJ.GET", "k", &format!("gone{round}"), FACTS]));
-        drop(leaves);
+        let mut disconnecting = node.client();
+        assert_eq!(disconnecting.ask(&["PING"]), "+PONG");
+        node.suspend();
+        disconnecting.send(&command(&[
+            "OBJ.GET",
+            "k",
+            &format!("gone{round}"),
+            ATTRIBUTES,
+        ]));
+        drop(disconnecting);
         node.signal("-CONT");
         assert_eq!(
-            stays.ask(&["OBJ.GET", "k", &format!("id{round}"), FACTS]),
+            staying.ask(&["OBJ.GET", "k", &format!("id{round}"), ATTRIBUTES]),
             "v"
         );
-        assert_eq!(next(&seen), format!("a: OBJ.GET k id{round}"));
+        assert_eq!(next_report(&reports), format!("a: OBJ.GET k id{round}"));
     }
 }
--- a/crates/node/tests/sockets/stray_responses.rs
+++ b/crates/node/tests/sockets/stray_responses.rs
@@ -1,9 +1,10 @@
-//! Answers that come twice, and values that break off beside others of their client.
+//! Responses that a server sends twice, and truncated values before other responses of their
+//! client.
 use super::common::*;
 
-/// A cache that answers each command with its id, and the first one on each connection a second time, some milliseconds later.
-/// The others take it longer than that.
-fn answers_twice(later: Duration) -> SocketAddr {
+/// Starts a cache that responds to each command with its id. It sends the first response on each
+/// connection a second time after `delay`, and takes twice as long for each later response.
+fn repeating_server(delay: Duration) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
@@ -11,17 +12,17 @@
             std::thread::spawn(move || {
                 let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
                 let mut first = true;
-                while let Some(words) = command_words(&mut reader) {
-                    let answer = found(&words[2]);
+                while let Some(words) = read_command_words(&mut reader) {
+                    let response = hit_bytes(&words[2]);
                     if !first {
-                        std::thread::sleep(2 * later);
+                        std::thread::sleep(2 * delay);
                     }
-                    let _ = (&stream).write_all(&answer);
+                    let _ = (&stream).write_all(&response);
                     if std::mem::take(&mut first) {
-                        let again = stream.try_clone().expect("a copy");
+                        let duplicate_stream = stream.try_clone().expect("a copy");
                         std::thread::spawn(move || {
-                            std::thread::sleep(later);
-                            (&again).write_all(&answer)
+                            std::thread::sleep(delay);
+                            (&duplicate_stream).write_all(&response)
                         });
                     }
                 }
@@ -31,47 +32,50 @@
     addr
 }
 
-/// The next command comes when the first answer has been there for a moment, and its second copy has not come yet.
+/// The client sends its next command after the first response and before its duplicate arrives. The
+/// duplicate must not be taken for the response to the next command.
 #[test]
-fn a_second_copy_of_an_answer_is_not_taken_for_that_of_the_next_command() {
-    let cache = answers_twice(Duration::from_millis(6));
+fn duplicate_response_is_not_matched_to_the_next_command() {
+    let cache = repeating_server(Duration::from_millis(6));
     for round in 0..10 {
         let node = Node::start(&[("a", cache)], "");
         let mut client = node.client();
         let first = format!("first{round}");
-        assert_eq!(client.ask(&["OBJ.GET", "k1", &first, FACTS]), first);
+        assert_eq!(client.ask(&["OBJ.GET", "k1", &first, ATTRIBUTES]), first);
         std::thread::sleep(Duration::from_millis(3));
         let second = format!("second{round}");
-        assert_eq!(client.ask(&["OBJ.GET", "k2", &second, FACTS]), second);
+        assert_eq!(client.ask(&["OBJ.GET", "k2", &second, ATTRIBUTES]), second);
     }
 }
 
-/// The large value may break off, but the command behind it is owed its answer, and has it or goes elsewhere unread.
+/// A large value is truncated while a write behind it is already at the origin. The client still
+/// has to get the response to that write.
 #[test]
-fn a_large_value_that_breaks_off_costs_no_other_command_of_its_client() {
-    let value = found(&"v".repeat(1024 * 1024));
+fn truncated_large_value_costs_no_other_command() {
+    let value = hit_bytes(&"v".repeat(1024 * 1024));
     let (half, _) = value.split_at(value.len() / 2);
-    let (large, go) = in_pieces(vec![half.to_vec()]);
-    let (tell, seen) = channel();
-    let origin = server("origin", tell, |_| http("200 OK", "stored"));
-    let node = Node::start(&[("a", large), ("origin", origin)], "");
+    let (truncating_cache, release) = piecewise_server(vec![half.to_vec()]);
+    let (sender, reports) = channel();
+    let origin = server("origin", sender, |_| http("200 OK", "stored"));
+    let node = Node::start(&[("a", truncating_cache), ("origin", origin)], "");
     let mut client = node.client();
-    // Read together with the first, and so taken.
+    // Sent together, so the node reads and accepts both.
     let both = [
-        command(&["OBJ.GET", "k", "large", FACTS]),
+        command(&["OBJ.GET", "k", "large", ATTRIBUTES]),
         command(&["OBJ.SET", "k2", "write", "c=book,d=30000", "new"]),
     ];
     client.send(&both.concat());
-    assert_eq!(next(&seen), "origin: PUT /k2 write new");
-    go.send(()).expect("half of it");
-    // Its server breaks the connection in the middle.
-    drop(go);
-    // The read has failed, or the origin was asked for it: nothing that can't be ended was begun.
-    let first = client.answer();
+    assert_eq!(next_report(&reports), "origin: PUT /k2 write new");
+    release.send(()).expect("half of it");
+    // The server closes the connection within the value.
+    drop(release);
+    // The read has failed or was retried at the origin: its response was not begun, as it could not
+    // have been completed.
+    let first = client.response();
     assert!(
         first.starts_with('-') || first == "stored",
         "{} bytes",
         first.len()
     );
-    assert_eq!(client.answer(), "stored");
+    assert_eq!(client.response(), "stored");
 }
--- a/crates/node/tests/sockets/stub_servers.rs
+++ b/crates/node/tests/sockets/stub_servers.rs
@@ -1,46 +1,51 @@
-//! Stand-ins for servers: threads that report what they read and do as the test says.
+//! Stub servers: threads that report each message they read and act by the test's script.
 use super::common::*;
 
-/// What a server does with one command or request.
+/// What a server does after it has read a command or request.
 pub enum ServerAction {
-    Say(Vec<u8>),
-    /// Once the test lets it.
-    SayAfter(Receiver<()>, Vec<u8>),
-    /// After a time.
-    SayLater(Duration, Vec<u8>),
-    /// And the end behind it, which is reported.
+    Respond(Vec<u8>),
+    /// Responds once the test has sent to the channel.
+    RespondOnRelease(Receiver<()>, Vec<u8>),
+    /// Responds after a delay.
+    RespondAfter(Duration, Vec<u8>),
+    /// Responds, then closes the connection and reports that.
     Last(Vec<u8>),
-    /// Half of it, then the end.
-    Cut(Vec<u8>),
-    /// Nothing; reports when the node closes the connection.
-    Hold,
+    /// Sends the first half of the response and closes the connection.
+    Truncate(Vec<u8>),
+    /// Sends nothing, and reports when the node closes the connection.
+    Ignore,
     Close,
 }
 
 pub type Script = Arc<Mutex<dyn FnMut(&str) -> ServerAction + Send>>;
-/// Reads one command or request and says what is reported of it.
-pub type Reading = fn(&mut BufReader<TcpStream>) -> Option<String>;
+/// Reads one command or request and returns the text to report.
+pub type ReadMessage = fn(&mut BufReader<TcpStream>) -> Option<String>;
 
-/// Starts a server that reads RESP commands, or HTTP requests, and acts by a script. Reports each as
-/// "name: words", and "name: closed" when a held connection ends.
+/// Starts a server that acts by a script. It reads HTTP requests if its name is `origin`, else RESP
+/// commands, and reports each as "name: words"; see `ServerAction` for the reports of "name:
+/// closed".
 pub fn server(
     name: &'static str,
-    seen: Sender<String>,
+    reports: Sender<String>,
     script: impl FnMut(&str) -> ServerAction + Send + 'static,
 ) -> SocketAddr {
     server_reading(
         name,
-        seen,
-        if name == "origin" { request } else { words },
+        reports,
+        if name == "origin" {
+            read_request
+        } else {
+            read_command
+        },
         script,
     )
 }
 
-/// The same, where the test says what is reported of each command or request.
+/// Starts a server that acts by a script; `read` reads a message and returns the text to report.
 pub fn server_reading(
     name: &'static str,
-    seen: Sender<String>,
-    read: Reading,
+    reports: Sender<String>,
+    read: ReadMessage,
     script: impl FnMut(&str) -> ServerAction + Send + 'static,
 ) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -48,119 +53,123 @@
     let script: Script = Arc::new(Mutex::new(script));
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let (seen, script) = (seen.clone(), script.clone());
-            std::thread::spawn(move || serve_connection(name, stream, read, &script, &seen));
+            let (reports, script) = (reports.clone(), script.clone());
+            std::thread::spawn(move || serve_connection(name, stream, read, &script, &reports));
         }
     });
     addr
 }
 
-/// Acts on each command or request of one connection, and reports it.
+/// Reports each command or request of a connection and acts on it.
 fn serve_connection(
     name: &str,
     stream: TcpStream,
-    read: Reading,
+    read: ReadMessage,
     script: &Script,
-    seen: &Sender<String>,
+    reports: &Sender<String>,
 ) {
     let mut reader = BufReader::new(stream);
     while let Some(words) = read(&mut reader) {
-        let _ = seen.send(format!("{name}: {words}"));
-        let deed = script.lock().map(|mut script| script(&words));
+        let _ = reports.send(format!("{name}: {words}"));
+        let action = script.lock().map(|mut script| script(&words));
         let stream = reader.get_mut();
-        match deed {
-            Ok(ServerAction::Say(bytes)) => drop(stream.write_all(&bytes)),
-            Ok(ServerAction::SayAfter(free, bytes)) => {
-                let _ = free.recv_timeout(EVENT_TIMEOUT);
+        match action {
+            Ok(ServerAction::Respond(bytes)) => drop(stream.write_all(&bytes)),
+            Ok(ServerAction::RespondOnRelease(release, bytes)) => {
+                let _ = release.recv_timeout(EVENT_TIMEOUT);
                 let _ = stream.write_all(&bytes);
             }
-            Ok(ServerAction::SayLater(wait, bytes)) => {
-                std::thread::sleep(wait);
+            Ok(ServerAction::RespondAfter(delay, bytes)) => {
+                std::thread::sleep(delay);
                 let _ = stream.write_all(&bytes);
             }
             Ok(ServerAction::Last(bytes)) => {
                 let _ = stream.write_all(&bytes);
-                send_end(stream);
+                shutdown_write(stream);
                 drop(reader);
-                let _ = seen.send(format!("{name}: closed"));
+                let _ = reports.send(format!("{name}: closed"));
                 return;
             }
-            Ok(ServerAction::Cut(bytes)) => {
+            Ok(ServerAction::Truncate(bytes)) => {
                 let _ = stream.write_all(&bytes[..bytes.len() / 2]);
-                return send_end(stream);
+                return shutdown_write(stream);
             }
-            Ok(ServerAction::Hold) => {
+            Ok(ServerAction::Ignore) => {
                 let _ = stream.read(&mut [0; 64]);
-                let _ = seen.send(format!("{name}: closed"));
+                let _ = reports.send(format!("{name}: closed"));
                 return;
             }
-            _ => return send_end(stream),
+            _ => return shutdown_write(stream),
         }
     }
 }
 
-pub fn line(reader: &mut impl BufRead) -> Option<String> {
+/// Reads a line and returns it without its end; `None` at the end of the connection.
+pub fn read_line(reader: &mut impl BufRead) -> Option<String> {
     let mut line = String::new();
     reader.read_line(&mut line).ok().filter(|read| *read > 0)?;
     Some(line.trim_end().to_owned())
 }
 
-pub fn bytes(reader: &mut impl Read, count: usize) -> Option<String> {
+/// Reads `count` bytes as text; `None` if the connection ends before.
+pub fn read_text(reader: &mut impl Read, count: usize) -> Option<String> {
     let mut bytes = vec![0; count];
     reader.read_exact(&mut bytes).ok()?;
     Some(String::from_utf8_lossy(&bytes).into_owned())
 }
 
-/// A command's words but for the list of names and values, whose wait differs.
-pub fn words(reader: &mut BufReader<TcpStream>) -> Option<String> {
-    let mut all = command_words(reader)?;
-    all.remove(3);
-    Some(all.join(" "))
+/// Reads a command and returns its words, without the attribute list, whose timeout varies.
+pub fn read_command(reader: &mut BufReader<TcpStream>) -> Option<String> {
+    let mut words_read = read_command_words(reader)?;
+    words_read.remove(3);
+    Some(words_read.join(" "))
 }
 
-/// A command's words.
-pub fn command_words(reader: &mut impl BufRead) -> Option<Vec<String>> {
-    let count: usize = line(reader)?.strip_prefix('*')?.parse().ok()?;
-    let mut all = Vec::new();
+/// Reads a command and returns its words.
+pub fn read_command_words(reader: &mut impl BufRead) -> Option<Vec<String>> {
+    let count: usize = read_line(reader)?.strip_prefix('*')?.parse().ok()?;
+    let mut words_read = Vec::new();
     for _ in 0..count {
-        let size: usize = line(reader)?.strip_prefix('$')?.parse().ok()?;
-        all.push(bytes(reader, size + 2)?.trim_end().to_owned());
+        let size: usize = read_line(reader)?.strip_prefix('$')?.parse().ok()?;
+        words_read.push(read_text(reader, size + 2)?.trim_end().to_owned());
     }
-    Some(all)
+    Some(words_read)
 }
 
-pub fn request(reader: &mut BufReader<TcpStream>) -> Option<String> {
-    let mut said = line(reader)?.replace(" HTTP/1.1", "");
+/// Reads an HTTP request and returns "METHOD path id body".
+pub fn read_request(reader: &mut BufReader<TcpStream>) -> Option<String> {
+    let mut text = read_line(reader)?.replace(" HTTP/1.1", "");
     let mut size = 0;
     loop {
-        let field = line(reader)?;
+        let field = read_line(reader)?;
         if field.is_empty() {
             break;
         }
         if let Some(id) = field.strip_prefix("X-Correlation-Id: ") {
-            said += &format!(" {id}");
+            text += &format!(" {id}");
         }
         if let Some(count) = field.strip_prefix("Content-Length: ") {
             size = count.parse().ok()?;
         }
     }
-    Some(said + " " + &bytes(reader, size)?)
+    Some(text + " " + &read_text(reader, size)?)
 }
 
-pub fn found(value: &str) -> Vec<u8> {
+/// Encodes the response of a cache to a hit.
+pub fn hit_bytes(value: &str) -> Vec<u8> {
     format!("*3\r\n${}\r\n{value}\r\n$3\r\nhit\r\n$-1\r\n", value.len()).into_bytes()
 }
 
 pub fn hit(value: &str) -> ServerAction {
-    ServerAction::Say(found(value))
+    ServerAction::Respond(hit_bytes(value))
 }
 
 pub fn miss() -> ServerAction {
-    ServerAction::Say(b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n".to_vec())
+    ServerAction::Respond(b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n".to_vec())
 }
 
 pub fn http(status: &str, body: &str) -> ServerAction {
-    ServerAction::Say(
+    ServerAction::Respond(
         format!(
             "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
@@ -169,38 +178,40 @@
     )
 }
 
-/// A server that answers one command with these pieces, each once the test lets it, and reports when it is read no more.
-pub fn in_pieces(pieces: Vec<Vec<u8>>) -> (SocketAddr, Sender<()>) {
+/// Starts a server with one connection that responds to each command with these pieces, and sends
+/// each piece once the test has sent to the channel.
+pub fn piecewise_server(pieces: Vec<Vec<u8>>) -> (SocketAddr, Sender<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
-    let (go, let_go) = channel::<()>();
+    let (release, released) = channel::<()>();
     std::thread::spawn(move || {
         let mut reader = BufReader::new(listener.accept().expect("a connection").0);
-        while words(&mut reader).is_some() {
+        while read_command(&mut reader).is_some() {
             for piece in &pieces {
-                if let_go.recv_timeout(EVENT_TIMEOUT).is_err() {
+                if released.recv_timeout(EVENT_TIMEOUT).is_err() {
                     return;
                 }
                 let _ = reader.get_mut().write_all(piece);
             }
         }
     });
-    (addr, go)
+    (addr, release)
 }
 
-/// A script whose first answer comes once the test lets it; `others` acts on all that comes behind.
-pub fn first_when_freed(
+/// Returns a script that sends its first response once the test has sent to the channel; `others`
+/// is the script of all later messages.
+pub fn hold_first_response(
     first: Vec<u8>,
     mut others: impl FnMut(&str) -> ServerAction + Send + 'static,
 ) -> (
     Sender<()>,
     impl FnMut(&str) -> ServerAction + Send + 'static,
 ) {
-    let (free, held) = channel();
-    let mut held = Some((held, first));
-    let script = move |words: &str| match held.take() {
-        Some((held, first)) => ServerAction::SayAfter(held, first),
+    let (release, pending) = channel();
+    let mut pending = Some((pending, first));
+    let script = move |words: &str| match pending.take() {
+        Some((pending, first)) => ServerAction::RespondOnRelease(pending, first),
         None => others(words),
     };
-    (free, script)
+    (release, script)
 }
