--- a/crates/node/tests/soak/clients.rs
+++ b/crates/node/tests/soak/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that use their connections for as long as these are open, and note what became of each
+//! Clients that use their connections for as long as these are open, and record the outcome of each
 //! request.
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,14 +10,13 @@
 /// How a client uses its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClientBehavior {
-    /// One request after the other, and no pause between them.
+    /// Sends one request after the other, without a pause between them.
     Sequential,
-    /// Several requests open at once, and never none.
+    /// Keeps several requests open at all times.
     Pipelining,
-    /// Closes its connection in the middle of a request and connects again.
+    /// Closes its connection during a request and connects again.
     Abandoning,
-    /// Sends PING and is idle until the node ends the connection, then sends a request all the
-    /// same.
+    /// Sends PING, is idle until the node closes the connection, and then still sends a request.
     IdleUntilClosed,
 }
 
@@ -38,7 +37,7 @@
     ]
 };
 
-/// The clients of a round that is about clients that send on without a pause.
+/// The clients of a round in which every client sends without a pause.
 pub const UNPAUSING_CLIENTS: [ClientBehavior; 6] = {
     use ClientBehavior::*;
     [
@@ -46,27 +45,27 @@
     ]
 };
 
-/// Requests that a pipelining client keeps open.
+/// Number of requests that a pipelining client keeps open.
 const PIPELINE_DEPTH: usize = 4;
-/// Keys that requests are about.
+/// Number of keys that are requested.
 const KEY_COUNT: f64 = 50.0;
-/// Part of the requests for the product that must not run twice.
+/// Fraction of the requests for `book`, the product that must not run twice.
 const BOOK_SHARE: f64 = 0.2;
-/// Part of the requests for it or for the product with idempotency keys.
+/// Fraction of the requests for `book` or for `put`, the product with idempotency keys.
 const BOOK_OR_PUT_SHARE: f64 = 0.4;
-/// Between two attempts to connect.
+/// Delay after a failed connect.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(2);
-/// After a connection on which a client was idle.
+/// Delay before a client connects again after it was idle until the close.
 const IDLE_RECONNECT_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Debug)]
 pub enum RequestOutcome {
-    /// The node answered.
+    /// The node responded.
     Responded { at: Instant, response: String },
-    /// The connection ended before its answer.
+    /// The connection was closed before a response.
     NoResponse { ended_at: Instant },
-    /// The client closed the connection.
+    /// The client closed the connection itself.
     Abandoned { at: Instant },
 }
 
@@ -76,12 +75,12 @@
     pub id: String,
     pub product: &'static str,
     pub sent_at: Instant,
-    /// How long its client waits.
+    /// How long its client waits for a response.
     pub client_timeout: Duration,
-    /// Whether its client always has another one open on the connection.
+    /// Whether its client always has another request open on the connection.
     pub is_pipelined: bool,
-    /// For how long the client's thread, ready to run, has waited for a processor: until the
-    /// request was sent, and until its outcome was known.
+    /// Total time for which the client's thread, ready to run, had waited for a processor: when the
+    /// request was sent, and when its outcome was known.
     pub processor_waits: [Duration; 2],
     pub outcome: RequestOutcome,
 }
@@ -96,14 +95,16 @@
     requests: Vec<Request>,
 }
 
-/// For how long this thread has waited for a processor, as the system has it.
+/// Returns the total time for which this thread has waited for a processor, from
+/// `/proc/thread-self/schedstat`.
 fn processor_wait() -> Duration {
     let statistics = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let waited_ns = statistics.split_whitespace().nth(1);
     Duration::from_nanos(waited_ns.and_then(|ns| ns.parse().ok()).unwrap_or(0))
 }
 
-/// Sends requests until `stop` is set, which the end of all connections follows.
+/// Sends requests until `stop` is set, which happens just before all connections are closed by the
+/// kill.
 pub fn run(
     behavior: ClientBehavior,
     index: usize,
@@ -142,17 +143,17 @@
 }
 
 impl LoadClient<'_> {
-    /// Sends one more request, if the connection takes it.
+    /// Sends one more request; `None` if the connection does not accept it.
     fn send(&mut self, connection: &mut Client) -> Option<Request> {
         self.request_count += 1;
         let id = format!("r{}-{}", self.index, self.request_count);
         let key = format!("k{}", (self.rng.unit() * KEY_COUNT) as u64);
-        let (product, mark) = match self.rng.unit() {
+        let (product, idempotency_key) = match self.rng.unit() {
             draw if draw < BOOK_SHARE => ("book", ""),
             draw if draw < BOOK_OR_PUT_SHARE => ("put", ",k=mark"),
             _ => ("view", ""),
         };
-        let attributes = format!("c={product},d={}{mark}", self.client_timeout_ms);
+        let attributes = format!("c={product},d={}{idempotency_key}", self.client_timeout_ms);
         let bytes = match product {
             "view" => command(&["OBJ.GET", &key, &id, &attributes]),
             _ => command(&["OBJ.SET", &key, &id, &attributes, "value"]),
@@ -170,13 +171,13 @@
         })
     }
 
-    /// Keeps so many requests open until the connection ends.
+    /// Keeps `depth` requests open until the connection is closed.
     fn keep_open(&mut self, connection: &mut Client, depth: usize) {
-        let mut waiting = VecDeque::new();
+        let mut open_requests = VecDeque::new();
         loop {
-            while waiting.len() < depth {
+            while open_requests.len() < depth {
                 match self.send(connection) {
-                    Some(request) => waiting.push_back(request),
+                    Some(request) => open_requests.push_back(request),
                     None => break,
                 }
             }
@@ -187,10 +188,11 @@
                     outcome: RequestOutcome::NoResponse { ended_at: now },
                     ..request
                 };
-                self.requests.extend(waiting.into_iter().map(unanswered));
+                self.requests
+                    .extend(open_requests.into_iter().map(unanswered));
                 return;
             }
-            if let Some(request) = waiting.pop_front() {
+            if let Some(request) = open_requests.pop_front() {
                 let mut processor_waits = request.processor_waits;
                 if now.duration_since(request.sent_at) > request.client_timeout {
                     processor_waits[1] = processor_wait();
@@ -204,14 +206,14 @@
         }
     }
 
-    /// Sends a request and closes the connection at some time within its client timeout.
+    /// Sends a request and closes the connection at a random time within the client timeout.
     fn abandon(&mut self, connection: &mut Client) {
         let Some(request) = self.send(connection) else {
             return;
         };
         let client_timeout_us = 1000.0 * self.client_timeout_ms as f64;
-        let wait_us = self.rng.unit() * client_timeout_us;
-        std::thread::sleep(Duration::from_micros(wait_us as u64));
+        let delay_us = self.rng.unit() * client_timeout_us;
+        std::thread::sleep(Duration::from_micros(delay_us as u64));
         shutdown_write(connection.0.get_ref());
         self.requests.push(Request {
             outcome: RequestOutcome::Abandoned { at: Instant::now() },
@@ -219,12 +221,12 @@
         });
     }
 
-    /// Awaits the end of an idle connection, and sends a request after it.
+    /// Waits until the node closes an idle connection, and sends a request after that.
     fn idle_until_closed(&mut self, connection: &mut Client) {
         if connection.ask(&["PING"]) != "+PONG" {
             return;
         }
-        // The end, which the client has not heeded yet as its next request goes out.
+        // The close, of which the client takes no notice before it sends its next request.
         let _ = connection.response();
         let _ = self.send(connection);
         if self.stop.load(Ordering::Relaxed) {
--- a/crates/node/tests/soak/evidence.rs
+++ b/crates/node/tests/soak/evidence.rs
@@ -1,14 +1,16 @@
-//! What tells a node that was busy from one that was not run, and from one that stood still.
+//! Data that distinguishes a node that was busy from one that was stopped, or that the system did
+//! not run.
 use super::common::*;
 
-/// What the system and the node itself say of a round.
+/// What the system and the node itself report about a round.
 pub struct Evidence {
-    /// The node's state, processor time in ticks and waits for a processor, shortly before the
-    /// kill.
+    /// The node's state, processor time in ticks and time waiting for a processor, shortly before
+    /// the kill.
     pub node_process: String,
-    /// Of all processors in the round, ticks that went to other machines of the host.
-    pub stolen_ticks: u64,
-    /// What the node logged since it serves.
+    /// Steal time of all processors during the round, in ticks: time that the host gave to other
+    /// virtual machines.
+    pub steal_ticks: u64,
+    /// The node's log since it began to serve.
     pub node_log: String,
 }
 
@@ -16,26 +18,26 @@
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         let Evidence {
             node_process,
-            stolen_ticks,
+            steal_ticks,
             node_log,
         } = self;
         write!(
             f,
-            "the node: {node_process}; {stolen_ticks} ticks stolen; its log:\n{node_log}"
+            "the node: {node_process}; {steal_ticks} ticks of steal time; its log:\n{node_log}"
         )
     }
 }
 
-/// Ticks that went to other machines of the host since the start.
-pub fn stolen_ticks() -> u64 {
+/// Returns the steal time of all processors since the system's start, in ticks, from `/proc/stat`.
+pub fn steal_ticks() -> u64 {
     let statistics = std::fs::read_to_string("/proc/stat").unwrap_or_default();
     let all_processors = statistics.lines().next().unwrap_or_default();
-    let stolen = all_processors.split_whitespace().nth(8);
-    stolen.and_then(|ticks| ticks.parse().ok()).unwrap_or(0)
+    let steal = all_processors.split_whitespace().nth(8);
+    steal.and_then(|ticks| ticks.parse().ok()).unwrap_or(0)
 }
 
-/// A process's state, its ticks as user and in the system, and its time on and waiting for a
-/// processor.
+/// Describes a process by its state, its user and system ticks (`/proc/ID/stat`), and its time on
+/// and waiting for a processor (`/proc/ID/schedstat`).
 pub fn describe_process(id: u32) -> String {
     let read =
         |file: &str| std::fs::read_to_string(format!("/proc/{id}/{file}")).unwrap_or_default();
@@ -51,7 +53,7 @@
     )
 }
 
-/// What the node has logged and nobody has read.
+/// Returns the part of the node's log that has not been read yet.
 pub fn remaining_log(node: &mut Node) -> String {
     let mut text = String::new();
     if let Some(log) = &mut node.log {
--- a/crates/node/tests/soak/main.rs
+++ b/crates/node/tests/soak/main.rs
@@ -1,6 +1,6 @@
-//! Nodes that are told to end under load, by signals in series, and killed as soon as the
-//! operators' page allows it. Their clients use open connections until the kill. `SOAK_SEEDS` (a
-//! count, or `from..to`) plays other seeds than the few of CI.
+//! Soak test of the shutdown. Nodes under load get a series of signals and are killed as soon as
+//! the operators' page allows it, while their clients use open connections until the kill.
+//! `SOAK_SEEDS` (a count, or `from..to`) plays other seeds than the few of CI.
 mod clients;
 #[allow(dead_code, unused_imports)]
 #[path = "../sockets/common.rs"]
@@ -20,16 +20,16 @@
 use plan::Plan;
 use round::RoundResult;
 
-/// Variable that names the seeds.
+/// Environment variable with the seeds to play.
 const SEEDS_VARIABLE: &str = "SOAK_SEEDS";
-/// Seeds that CI plays, the last one as it found something.
+/// Seeds that CI plays; the last one has found a fault.
 const CI_SEEDS: [u64; 19] = [
     0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 63,
 ];
-/// Rounds that are played at once.
+/// Number of rounds that are played at the same time.
 const PARALLEL_ROUNDS: u64 = 3;
-/// How often a round is played on a machine that stalls its processes for longer than the page
-/// allows, until it is left.
+/// How often a round is played if the machine stalls its processes for longer than the page allows;
+/// after that it is not judged.
 const MAX_PLAYS: usize = 4;
 
 fn seeds() -> Vec<u64> {
@@ -46,10 +46,11 @@
     }
 }
 
-/// Guards against tests that play beside each other and stall one another's processes.
+/// Lock of the machine: tests that play at the same time would stall one another's processes.
 static MACHINE: Mutex<()> = Mutex::new(());
 
-/// The faults of a plan's round; none if the machine stalled it each time.
+/// Plays a plan's round until it can be judged and returns its faults; `None` if the machine
+/// stalled it each time.
 fn judge(plan: &Plan) -> Option<Vec<String>> {
     (0..MAX_PLAYS)
         .map(|_| round::play(plan))
@@ -61,30 +62,30 @@
 
 #[test]
 fn no_request_is_lost_or_repeated_by_a_node_that_is_told_to_end() {
-    let plans: Vec<_> = seeds().into_iter().map(Plan::of).collect();
+    let plans: Vec<_> = seeds().into_iter().map(Plan::from_seed).collect();
     assert_no_faults(&plans);
 }
 
-/// Plays the rounds, several at once, and fails for each fault that is found.
+/// Plays the rounds, several at the same time, and fails if any fault is found.
 fn assert_no_faults(plans: &[Plan]) {
-    let _alone = MACHINE
+    let _machine = MACHINE
         .lock()
         .unwrap_or_else(|poisoned| poisoned.into_inner());
     let faults = Mutex::new(Vec::new());
     let judged = Mutex::new(0);
     std::thread::scope(|scope| {
-        for lane in 0..PARALLEL_ROUNDS {
+        for worker in 0..PARALLEL_ROUNDS {
             let (faults, judged) = (&faults, &judged);
             scope.spawn(move || {
-                let of_lane = |plan: &&Plan| plan.seed % PARALLEL_ROUNDS == lane;
-                for plan in plans.iter().filter(of_lane) {
+                let of_worker = |plan: &&Plan| plan.seed % PARALLEL_ROUNDS == worker;
+                for plan in plans.iter().filter(of_worker) {
                     match judge(plan) {
-                        Some(found) => {
+                        Some(round_faults) => {
                             *judged.lock().expect("a count") += 1;
-                            faults.lock().expect("a list").extend(found);
+                            faults.lock().expect("a list").extend(round_faults);
                         }
                         None => println!(
-                            "seed {}: not judged, as the machine was held up {MAX_PLAYS} times",
+                            "seed {}: not judged, as the machine stalled {MAX_PLAYS} times",
                             plan.seed
                         ),
                     }
@@ -102,8 +103,5 @@
         faults.len()
     );
     assert!(faults.is_empty(), "{}", faults.join("\n"));
-    assert!(
-        2 * judged >= plans.len(),
-        "the machine was held up too often"
-    );
+    assert!(2 * judged >= plans.len(), "the machine stalled too often");
 }
--- a/crates/node/tests/soak/plan.rs
+++ b/crates/node/tests/soak/plan.rs
@@ -5,25 +5,25 @@
 
 use super::clients::{ClientBehavior, CLIENTS, UNPAUSING_CLIENTS};
 
-/// Client timeouts that settings may have, in milliseconds: the shorter, the sooner the kill comes.
+/// Client timeouts of the settings, in milliseconds. The shorter the timeout, the earlier the kill.
 const CLIENT_TIMEOUTS_MS: [u64; 7] = [60, 100, 150, 300, 600, 1000, 3000];
 /// Longest client timeout that operators wait for after SIGTERM, in milliseconds.
 const MAX_AWAITED_TIMEOUT_MS: u64 = 3000;
-/// What operators leave a process beyond the longest client timeout, in milliseconds.
+/// Time that operators leave a process after the longest client timeout, in milliseconds.
 const KILL_AFTER_MS: u64 = 700;
 /// Longest time for which a node may be stalled, in milliseconds.
 const MAX_STALL_MS: f64 = 150.0;
-/// Sockets of a node that idle clients fill.
+/// Limit of sockets of a node whose sockets are filled by idle clients.
 const FEW_SOCKETS: u32 = 96;
-/// Sockets of any other node.
+/// Limit of sockets of any other node.
 const MANY_SOCKETS: u32 = 1024;
-/// When SIGTERM comes in a round with a stall at a given moment, in milliseconds.
+/// Time of SIGTERM in a round with a stall at a given moment, in milliseconds from the start.
 const TERMINATE_STALLED_AT_MS: u64 = 100;
-/// Of the rounds with a stall at a given moment, servers hang in one of so many.
+/// Servers hang in one of this many rounds with a stall at a given moment.
 const HANGING_ROUNDS: u64 = 4;
-/// And idle clients fill the sockets in one of so many.
+/// Idle clients fill the sockets in one of this many rounds with a stall at a given moment.
 const CROWDED_ROUNDS: u64 = 8;
-/// Least time from the end of the first stall to the second, in milliseconds.
+/// Shortest time from the end of the first stall to the second one, in milliseconds.
 pub const BETWEEN_STALLS_MS: u64 = 50;
 
 /// What happens in a round.
@@ -32,27 +32,27 @@
     pub seed: u64,
     /// Longest client timeout of the settings, in milliseconds.
     pub client_timeout_ms: u64,
-    /// The same of the settings that SIGHUP brings, if it comes.
+    /// The same in the settings that SIGHUP loads; `None` if the round has no SIGHUP.
     pub new_client_timeout_ms: Option<u64>,
-    /// When SIGHUP comes, in milliseconds from SIGTERM; it may come before.
+    /// Time of SIGHUP, in milliseconds from SIGTERM; negative if SIGHUP precedes it.
     pub hangup_after_ms: i64,
-    /// When SIGTERM comes, in milliseconds from the start.
+    /// Time of SIGTERM, in milliseconds from the start.
     pub terminate_at_ms: u64,
-    /// How long the process is stalled as SIGTERM comes, in milliseconds.
+    /// Length of the stall of the process at SIGTERM, in milliseconds.
     pub stall_ms: u64,
-    /// When it is stalled once more, in milliseconds from shortly after the first stall.
+    /// Time of the second stall, in milliseconds from `BETWEEN_STALLS_MS` after the first stall.
     pub second_stall_at_ms: u64,
-    /// For how long, in milliseconds.
+    /// Length of the second stall, in milliseconds.
     pub second_stall_ms: u64,
-    /// Whether further signals come that end nothing.
+    /// Whether further SIGTERMs and a SIGINT follow, which have to change nothing.
     pub repeats_signals: bool,
     /// Whether idle clients fill the sockets.
     pub has_idle_crowd: bool,
-    /// Whether servers hang from SIGTERM on.
+    /// Whether servers leave half of the commands without a response from SIGTERM on.
     pub servers_hang: bool,
     pub may_duplicate: bool,
     pub cancelling: bool,
-    /// Whether servers answer at once and well, until they hang.
+    /// Whether servers respond at once and without failures, until they hang.
     pub servers_are_instant: bool,
     pub clients: &'static [ClientBehavior],
 }
@@ -60,16 +60,17 @@
 /// A stall of the process during its shutdown.
 #[derive(Debug, Clone, Copy)]
 pub struct Stall {
-    /// When it begins, in milliseconds from SIGTERM.
+    /// Time at which it begins, in milliseconds from SIGTERM.
     pub after_ms: u64,
     /// Its length, in milliseconds.
     pub length_ms: u64,
 }
 
 impl Plan {
-    pub fn of(seed: u64) -> Plan {
+    /// Draws a plan from a seed.
+    pub fn from_seed(seed: u64) -> Plan {
         let mut rng = Pcg::new(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
-        let mut draw = |most: f64| (rng.unit() * most) as u64;
+        let mut draw = |limit: f64| (rng.unit() * limit) as u64;
         let client_timeout_ms = CLIENT_TIMEOUTS_MS[draw(7.0) as usize];
         let reloads = draw(3.0) == 0;
         let new_client_timeout_ms = CLIENT_TIMEOUTS_MS[draw(7.0) as usize];
@@ -92,7 +93,8 @@
         }
     }
 
-    /// A shutdown with one stall, and clients that do not pause. The seed tells the rest.
+    /// Returns a plan of a shutdown with one stall and clients that do not pause. The seed selects
+    /// the rest.
     pub fn with_stall(seed: u64, client_timeout_ms: u64, stall: Stall) -> Plan {
         Plan {
             seed,
@@ -113,7 +115,8 @@
         }
     }
 
-    /// From SIGTERM to SIGKILL: where SIGHUP brings another client timeout, by the shorter.
+    /// Returns the time from SIGTERM to SIGKILL, by the shorter client timeout if SIGHUP loads
+    /// another one.
     pub fn time_to_kill(&self) -> Duration {
         let client_timeout_ms = self
             .new_client_timeout_ms
@@ -123,7 +126,7 @@
         Duration::from_millis(client_timeout_ms.min(MAX_AWAITED_TIMEOUT_MS) + KILL_AFTER_MS)
     }
 
-    /// The node's configuration, with a list of known servers and a client timeout.
+    /// Returns the node's configuration with an endpoint list and a client timeout.
     pub fn config(&self, known: &str, client_timeout_ms: u64) -> String {
         let Plan {
             may_duplicate,
--- a/crates/node/tests/soak/round.rs
+++ b/crates/node/tests/soak/round.rs
@@ -1,42 +1,41 @@
-//! One round: a node under load, its signals, the kill, and whether the machine kept up.
+//! One round: a node under load, its signals, the kill, and a check that the machine did not stall.
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use super::clients::{self, ClientBehavior, Request};
 use super::common::*;
-use super::evidence::{describe_process, remaining_log, stolen_ticks, Evidence};
+use super::evidence::{describe_process, remaining_log, steal_ticks, Evidence};
 use super::plan::{Plan, BETWEEN_STALLS_MS};
 use super::rule_check;
 use super::servers::{self, Arrivals};
 
-/// A thread that measures how late the machine is wants to sleep this long.
-const SLEEP: Duration = Duration::from_millis(2);
-/// How late it may be in a round that is judged.
+/// Sleep of the thread that measures how late the machine wakes it.
+const PROBE_SLEEP: Duration = Duration::from_millis(2);
+/// Largest delay of that thread in a round that is judged.
 const MAX_LATENESS: Duration = Duration::from_millis(25);
-/// Idle clients that fill a node's sockets.
+/// Number of idle clients that fill a node's sockets.
 const CROWD_SIZE: usize = 120;
-/// Descriptors that the node may hold.
+/// Limit of the node's file descriptors.
 const DESCRIPTORS: usize = 4096;
 
 /// The result of a round.
 pub enum RoundResult {
     /// The faults that were found.
     Judged(Vec<String>),
-    /// The machine itself stalled processes, so times say nothing.
+    /// The machine itself stalled processes, so the measured times are not valid.
     MachineStalled,
 }
 
-/// What was measured under load.
+/// The measurements under load.
 struct Measured {
     requests: Vec<Request>,
     terminated_at: Instant,
-    /// What tells a node that was busy from one that was not run, and from one that stood still.
+    /// Data that distinguishes a node that was busy from one that was stopped or not run.
     evidence: Evidence,
-    /// How late the sleep of a thread was at most.
+    /// Largest delay of a thread that sleeps.
     machine_lateness: Duration,
 }
 
-/// What happens to the node after SIGTERM. Of two at the same time, the one that stands first here
-/// comes first.
+/// An action on the node after SIGTERM. Actions at the same time are run in this order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Action {
     Interrupt,
@@ -45,14 +44,14 @@
     Reload,
 }
 
-/// An action and its time, from SIGTERM.
+/// An action and its time after SIGTERM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct DueAction {
     after: Duration,
     action: Action,
 }
 
-/// Plays a round.
+/// Plays a round and judges it, unless the machine stalled.
 pub fn play(plan: &Plan) -> RoundResult {
     let seed = plan.seed;
     let arrivals = Arrivals::default();
@@ -91,13 +90,13 @@
     )
 }
 
-/// Has clients call the node while the plan's signals come, until it is killed.
+/// Runs the clients and the plan's signals until the node is killed, and returns the measurements.
 fn play_under_load(plan: &Plan, node: &mut Node, known: &str, hang: &AtomicBool) -> Measured {
     let stop = AtomicBool::new(false);
     let (addr, client_timeout_ms, seed) = (node.addr, plan.client_timeout_ms, plan.seed);
     std::thread::scope(|scope| {
         let stop = &stop;
-        let lateness = scope.spawn(move || longest_lateness(stop));
+        let lateness = scope.spawn(move || measure_max_lateness(stop));
         let start_client = |(index, behavior): (usize, &ClientBehavior)| {
             let behavior = *behavior;
             scope.spawn(move || clients::run(behavior, index, addr, client_timeout_ms, seed, stop))
@@ -105,7 +104,7 @@
         let load: Vec<_> = plan.clients.iter().enumerate().map(start_client).collect();
         let crowd_size = if plan.has_idle_crowd { CROWD_SIZE } else { 0 };
         let crowd: Vec<_> = (0..crowd_size).map(|_| TcpStream::connect(addr)).collect();
-        let stolen_before = stolen_ticks();
+        let steal_before = steal_ticks();
         let terminated_at = send_signals(plan, node, known, hang);
         let node_process = describe_process(node.child.id());
         stop.store(true, Ordering::Relaxed);
@@ -116,7 +115,7 @@
             terminated_at,
             evidence: Evidence {
                 node_process,
-                stolen_ticks: stolen_ticks() - stolen_before,
+                steal_ticks: steal_ticks() - steal_before,
                 node_log: remaining_log(node),
             },
             requests: load
@@ -128,19 +127,19 @@
     })
 }
 
-/// How late the sleep of a thread was at most.
-fn longest_lateness(stop: &AtomicBool) -> Duration {
-    let mut longest = Duration::ZERO;
+/// Sleeps repeatedly until `stop` is set. Returns by how much the longest sleep exceeded its
+/// length.
+fn measure_max_lateness(stop: &AtomicBool) -> Duration {
+    let mut max_lateness = Duration::ZERO;
     while !stop.load(Ordering::Relaxed) {
         let started_at = Instant::now();
-        std::thread::sleep(SLEEP);
-        longest = longest.max(started_at.elapsed().saturating_sub(SLEEP));
+        std::thread::sleep(PROBE_SLEEP);
+        max_lateness = max_lateness.max(started_at.elapsed().saturating_sub(PROBE_SLEEP));
     }
-    longest
+    max_lateness
 }
 
-/// Sends the signals of the plan, each at its time; returns when SIGKILL is due, with the time of
-/// SIGTERM.
+/// Sends the plan's signals at their times. Returns the time of SIGTERM once SIGKILL is due.
 fn send_signals(plan: &Plan, node: &mut Node, known: &str, hang: &AtomicBool) -> Instant {
     let ms = Duration::from_millis;
     let terminate_at = Instant::now() + ms(plan.terminate_at_ms);
@@ -152,7 +151,7 @@
     if plan.stall_ms > 0 {
         node.signal("-STOP");
     }
-    // The earliest kill counts from here.
+    // The time to the kill counts from here.
     let terminated_at = Instant::now();
     node.signal("-TERM");
     hang.store(plan.servers_hang, Ordering::Relaxed);
@@ -181,7 +180,7 @@
     terminated_at
 }
 
-/// What happens after SIGTERM, in its order.
+/// Returns the actions after SIGTERM, in the order of their times.
 fn actions_after_terminate(plan: &Plan) -> Vec<DueAction> {
     let mut due = Vec::new();
     let mut add = |after_ms: u64, action: Action| {
@@ -206,7 +205,7 @@
     due
 }
 
-/// Puts the new settings in place, if the plan has any, and sends SIGHUP.
+/// Writes the new settings and sends SIGHUP, if the plan has new settings.
 fn reload(plan: &Plan, node: &Node, known: &str) {
     if let Some(client_timeout_ms) = plan.new_client_timeout_ms {
         std::fs::write(&node.config_path, plan.config(known, client_timeout_ms)).expect("written");
--- a/crates/node/tests/soak/servers.rs
+++ b/crates/node/tests/soak/servers.rs
@@ -1,4 +1,4 @@
-//! Servers that answer, are late, reject, fail or hang, and note each command that reaches them
+//! Servers that respond, are late, reject, fail or hang, and record each command that reaches them
 //! whole.
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,19 +12,20 @@
 const ORIGIN: &str = "origin";
 /// All servers of a round.
 const SERVERS: [&str; 4] = ["a", "b", "c", ORIGIN];
-/// Longest wait before an answer, in microseconds.
-const MAX_ANSWER_DELAY_US: f64 = 20_000.0;
-/// Part of the commands that get no answer once servers hang.
+/// Longest delay of a response, in microseconds.
+const MAX_RESPONSE_DELAY_US: f64 = 20_000.0;
+/// Fraction of the commands that get no response once servers hang.
 const HANGING_SHARE: f64 = 0.5;
 
-// Upper bounds of a draw from 0 to 1 for what a server does; the rest is answered.
-/// No answer.
+// Upper bounds, for a random number from 0 to 1, of what a server does; above them it responds
+// normally.
+/// The server sends no response.
 const SILENT_BELOW: f64 = 0.05;
-/// The connection is closed.
+/// The server closes the connection.
 const CLOSE_BELOW: f64 = 0.10;
-/// The command is rejected.
+/// The server rejects the command.
 const REJECT_BELOW: f64 = 0.15;
-/// A cache fails.
+/// A cache reports a failure.
 const FAIL_BELOW: f64 = 0.20;
 /// A read misses.
 const MISS_BELOW: f64 = 0.40;
@@ -34,16 +35,16 @@
 pub struct Arrival {
     pub at: Instant,
     pub server: &'static str,
-    /// The server's answer, if it gets to the node, proves that it was not executed.
+    /// Whether the server's response proves that the command was not executed.
     pub is_not_executed: bool,
 }
 
-/// What reached the servers, by the ids of requests.
+/// The arrivals at all servers, by request id.
 #[derive(Clone, Default)]
 pub struct Arrivals(Arc<Mutex<HashMap<String, Vec<Arrival>>>>);
 
 impl Arrivals {
-    /// What of a request reached servers.
+    /// Returns the arrivals of a request.
     pub fn of(&self, id: &str) -> Vec<Arrival> {
         self.0
             .lock()
@@ -53,7 +54,7 @@
             .unwrap_or_default()
     }
 
-    fn note(&self, id: &str, server: &'static str, is_not_executed: bool) {
+    fn record(&self, id: &str, server: &'static str, is_not_executed: bool) {
         let arrival = Arrival {
             at: Instant::now(),
             server,
@@ -68,19 +69,19 @@
     }
 }
 
-/// A server that runs.
+/// A running server.
 pub struct Server {
     pub id: &'static str,
     pub addr: SocketAddr,
 }
 
-/// What a server does with a command.
+/// The reaction of a server to a command.
 struct Reaction {
     action: ServerAction,
     is_not_executed: bool,
 }
 
-/// Starts three caches and an origin; `hang`: half of the commands get no answer from then on.
+/// Starts three caches and an origin. Once `hang` is set, half of the commands get no response.
 pub fn start(plan: &Plan, arrivals: &Arrivals, hang: &Arc<AtomicBool>) -> Vec<Server> {
     let (seed, is_instant) = (plan.seed, plan.servers_are_instant);
     let start_one = |(index, id): (usize, &&'static str)| {
@@ -91,11 +92,11 @@
             let verb = words.next().unwrap_or_default();
             let request_id = words.nth(1).unwrap_or_default();
             let reaction = if is_instant {
-                answer_at_once(id, request_id, &mut rng, &hang)
+                react_at_once(id, request_id, &mut rng, &hang)
             } else {
                 react(id, verb, request_id, &mut rng, &hang)
             };
-            arrivals.note(request_id, id, reaction.is_not_executed);
+            arrivals.record(request_id, id, reaction.is_not_executed);
             reaction.action
         };
         let addr = server(id, channel().0, script);
@@ -104,7 +105,7 @@
     SERVERS.iter().enumerate().map(start_one).collect()
 }
 
-fn answer_at_once(server: &str, request_id: &str, rng: &mut Pcg, hang: &AtomicBool) -> Reaction {
+fn react_at_once(server: &str, request_id: &str, rng: &mut Pcg, hang: &AtomicBool) -> Reaction {
     let hangs = hang.load(Ordering::Relaxed) && rng.unit() < HANGING_SHARE;
     let action = match server {
         _ if hangs => ServerAction::Ignore,
@@ -119,7 +120,7 @@
 
 fn react(server: &str, verb: &str, request_id: &str, rng: &mut Pcg, hang: &AtomicBool) -> Reaction {
     let draw = rng.unit();
-    let delay = Duration::from_micros((rng.unit() * MAX_ANSWER_DELAY_US) as u64);
+    let delay = Duration::from_micros((rng.unit() * MAX_RESPONSE_DELAY_US) as u64);
     let hangs = hang.load(Ordering::Relaxed) && rng.unit() < HANGING_SHARE;
     let is_origin = server == ORIGIN;
     let (action, is_not_executed) = match draw {
