--- a/crates/node/tests/sockets/common/client.rs
+++ b/crates/node/tests/sockets/common/client.rs
@@ -21,6 +21,7 @@
 }
 
 impl Client {
+    /// Connects with a read timeout of `EVENT_TIMEOUT`.
     pub fn connect(to: SocketAddr) -> Client {
         let stream = TcpStream::connect(to).expect("a connection");
         stream
--- a/crates/node/tests/sockets/common/node.rs
+++ b/crates/node/tests/sockets/common/node.rs
@@ -13,8 +13,11 @@
 /// The program in its own process, once it serves.
 pub struct Node {
     pub child: Child,
+    /// The address on which it serves.
     pub addr: SocketAddr,
+    /// Its log, if the test reads it.
     pub log: Option<BufReader<std::process::ChildStderr>>,
+    /// The file of its configuration, removed with the node.
     pub config_path: std::path::PathBuf,
 }
 
@@ -58,6 +61,7 @@
 }
 
 impl Node {
+    /// Starts a node that knows some servers and waits until it serves.
     pub fn start(known: &[(&str, SocketAddr)], extra_keys: &str) -> Node {
         Node::start_with_descriptors(known, extra_keys, DESCRIPTORS)
     }
--- a/crates/node/tests/sockets/stub_servers.rs
+++ b/crates/node/tests/sockets/stub_servers.rs
@@ -17,6 +17,7 @@
     Close,
 }
 
+/// Returns a server's action for the reported text of a message.
 pub type Script = Arc<Mutex<dyn FnMut(&str) -> ServerAction + Send>>;
 /// Reads one command or request and returns the text to report.
 pub type ReadMessage = fn(&mut BufReader<TcpStream>) -> Option<String>;
@@ -160,14 +161,17 @@
     format!("*3\r\n${}\r\n{value}\r\n$3\r\nhit\r\n$-1\r\n", value.len()).into_bytes()
 }
 
+/// Responds with a hit.
 pub fn hit(value: &str) -> ServerAction {
     ServerAction::Respond(hit_bytes(value))
 }
 
+/// Responds with a miss.
 pub fn miss() -> ServerAction {
     ServerAction::Respond(b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n".to_vec())
 }
 
+/// Responds with an HTTP response.
 pub fn http(status: &str, body: &str) -> ServerAction {
     ServerAction::Respond(
         format!(
