--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -1,4 +1,4 @@
-//! The program's command line: its subcommands, their arguments and their help.
+//! The program's command line: subcommands, arguments and help texts.
 use std::convert::Infallible;
 use std::path::PathBuf;
 
@@ -6,7 +6,7 @@
 use clap::{Args, Parser, Subcommand};
 use quartzhub_lab::fleet::faulty_node;
 
-/// Emulates fleets round quartzhub's decision module
+/// Tests quartzhub's policy in emulated fleets and on real processes
 #[derive(Debug, Parser)]
 #[command(name = "quartzhub-lab", version, arg_required_else_help = false)]
 pub struct Arguments {
@@ -16,36 +16,36 @@
 
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Asks a real node on loopback as a scenario's clients would
+    /// Runs a scenario's clients against a real node on loopback
     Load(LoadArgs),
-    /// Plays a scenario of one node emulated and by the real node, with stub servers on loopback
+    /// Runs a scenario of one node in the emulator and on a real node with stub servers on loopback
     Compare(CompareArgs),
-    /// Plays a plan with several processes of the built program, stub servers and faults on loopback
+    /// Runs plans: several processes of the built program, with stub servers and faults on loopback
     Fleet(FleetArgs),
-    /// Emulates the membership at several sizes, beside a plain detector
+    /// Emulates the membership at several fleet sizes, beside a plain failure detector
     Members(MembersArgs),
-    /// Becomes a program that ends when the process named by its id does
+    /// Executes a command that is killed when its parent process ends
     #[command(hide = true)]
     Guard(GuardArgs),
-    /// Serves in a node's place and breaks a rule, to show that the rig sees it
+    /// Runs a faulty node that breaks a rule, to test that the rig detects it
     #[command(hide = true, alias = "wicked")]
     FaultyNode(FaultyNodeArgs),
-    /// Plays one scenario
+    /// Runs one scenario in the emulator
     Run(RunArgs),
-    /// Plays an experiment
+    /// Runs an experiment in the emulator
     Sweep(SweepArgs),
-    /// Says whether a scenario, an experiment or a plan can be played
+    /// Validates a scenario, an experiment or a plan
     Check(CheckArgs),
 }
 
-/// Any text is a path: whether there is a file is found out when it is read.
+/// Accepts any text as a path; a missing file is reported when it is read.
 fn path(text: &str) -> Result<PathBuf, Infallible> {
     Ok(PathBuf::from(text))
 }
 
 #[derive(Debug, Args)]
 pub struct OutArgs {
-    /// where plots and tables go; made if missing
+    /// folder for plots and tables; created if missing
     #[arg(long, value_name = "FOLDER", value_parser = path)]
     pub out: Option<PathBuf>,
 }
@@ -55,9 +55,10 @@
     /// a scenario
     #[arg(value_name = "FILE", value_parser = path)]
     pub file: PathBuf,
-    /// such as 127.0.0.1:7000
+    /// the node's address, such as 127.0.0.1:7000
     #[arg(long, value_name = "ADDR")]
     pub node: String,
+    /// client connections to the node
     #[arg(long, value_name = "N", default_value = "64")]
     pub connections: String,
 }
@@ -71,13 +72,13 @@
 
 #[derive(Debug, Args)]
 pub struct FleetArgs {
-    /// plans
+    /// one or more plans
     #[arg(value_name = "FILE", required = true, num_args = 1.., value_parser = path)]
     pub files: Vec<PathBuf>,
-    /// of each plan; from two on, or of several plans, only a table is told
+    /// runs of each plan; for more than one run in all, only a table is printed
     #[arg(long, value_name = "N", default_value = "1")]
     pub plays: String,
-    /// instead of quartzhub beside this one
+    /// the node's program; by default quartzhub in the folder of this program
     #[arg(long, value_name = "FILE", value_parser = path)]
     pub program: Option<PathBuf>,
     #[command(flatten)]
@@ -90,7 +91,7 @@
     pub sizes: String,
     #[arg(long, value_name = "N", default_value = "40")]
     pub crashes: String,
-    /// node-hours without a crash
+    /// node-hours without a crash in which false removals are counted
     #[arg(long, value_name = "H", default_value = "20")]
     pub hours: String,
     #[arg(long, value_name = "N", default_value = "1")]
@@ -127,10 +128,10 @@
     /// a scenario
     #[arg(value_name = "FILE", value_parser = path)]
     pub file: PathBuf,
-    /// instead of the scenario's one
+    /// policies to run instead of the scenario's
     #[arg(long, value_name = "A,B")]
     pub policies: Option<String>,
-    /// also tells where attempts and tries went, by the second
+    /// also print for each second where attempts went
     #[arg(long)]
     pub seconds: bool,
     #[command(flatten)]
@@ -148,7 +149,7 @@
 
 #[derive(Debug, Args)]
 pub struct CheckArgs {
-    /// one of them
+    /// a scenario, an experiment or a plan
     #[arg(value_name = "FILE", value_parser = path)]
     pub file: PathBuf,
 }
--- a/crates/lab/src/clients/arrivals.rs
+++ b/crates/lab/src/clients/arrivals.rs
@@ -1,27 +1,28 @@
-//! When clients' API calls arrive, and what they ask for: drawn from the scenario's seed, apart from all other draws.
+//! Arrival times, products and keys of the clients' API calls, drawn from a random stream of their
+//! own that depends on the scenario's seed only.
 use quartzhub_policy::Pcg;
 use rand_distr::{Distribution, Exp1, Zipf};
 
 use crate::scenario::{Fault, FaultKind, Scenario};
 
-/// Tells the seed of arrivals from those of other draws.
+/// XORed into the scenario's seed, so that arrivals don't share a random stream with other draws.
 const SEED_OFFSET: u64 = 0x7261_7465;
 
-/// An API call that a client begins.
+/// An API call that a client starts.
 pub(super) struct Arrival {
-    /// When, in seconds from the beginning.
+    /// Start time, in seconds since the start of the run.
     pub(super) at_s: f64,
-    /// The product, by its place in the scenario.
+    /// Index of the product in the scenario.
     pub(super) product: usize,
     pub(super) key: u64,
 }
 
-/// The API calls of a scenario, in the order of time.
+/// Iterator over the API calls of a scenario, ordered by start time.
 pub(super) struct Arrivals<'a> {
     scenario: &'a Scenario,
     rng: Pcg,
-    key_skew: Option<Zipf<f64>>,
-    total_share: f64,
+    key_distribution: Option<Zipf<f64>>,
+    share_sum: f64,
     at_s: f64,
 }
 
@@ -32,13 +33,13 @@
         Arrivals {
             scenario,
             rng: Pcg::new(scenario.seed ^ SEED_OFFSET),
-            key_skew: skew.and_then(|skew| Zipf::new(keys.count as f64, skew).ok()),
-            total_share: scenario.products.iter().map(|product| product.share).sum(),
+            key_distribution: skew.and_then(|skew| Zipf::new(keys.count as f64, skew).ok()),
+            share_sum: scenario.products.iter().map(|product| product.share).sum(),
             at_s: 0.0,
         }
     }
 
-    /// Faults of this kind that are active now.
+    /// Returns the faults of this kind that are active at the current arrival time.
     fn active_faults(&self, kind: FaultKind) -> impl Iterator<Item = &'a Fault> {
         let at_s = self.at_s;
         self.scenario
@@ -49,7 +50,7 @@
     }
 
     fn draw_product(&mut self) -> usize {
-        let mut draw = self.rng.unit() * self.total_share;
+        let mut draw = self.rng.unit() * self.share_sum;
         let product = self.scenario.products.iter().position(|product| {
             draw -= product.share;
             draw < 0.0
@@ -59,15 +60,15 @@
 
     fn draw_key(&mut self) -> u64 {
         let count = self.scenario.keys.count;
-        let key = match &self.key_skew {
+        let key = match &self.key_distribution {
             Some(zipf) => (zipf.sample(&mut self.rng) as u64).clamp(1, count) - 1,
             None => ((self.rng.unit() * count as f64) as u64).min(count - 1),
         };
-        let hot_share: f64 = self
+        let hot_key_ratio: f64 = self
             .active_faults(FaultKind::HotKey)
             .map(|fault| fault.share)
             .sum();
-        match self.rng.unit() < hot_share {
+        match self.rng.unit() < hot_key_ratio {
             true => 0,
             false => key,
         }
@@ -78,12 +79,12 @@
     type Item = Arrival;
 
     fn next(&mut self) -> Option<Arrival> {
-        let gap: f64 = Exp1.sample(&mut self.rng);
-        let burst: f64 = self
+        let interval: f64 = Exp1.sample(&mut self.rng);
+        let rate_factor: f64 = self
             .active_faults(FaultKind::Burst)
             .map(|fault| fault.factor)
             .product();
-        self.at_s += gap / (self.scenario.traffic.rate * burst);
+        self.at_s += interval / (self.scenario.traffic.rate * rate_factor);
         if self.at_s > self.scenario.seconds {
             return None;
         }
--- a/crates/lab/src/clients/endpoint.rs
+++ b/crates/lab/src/clients/endpoint.rs
@@ -1,4 +1,5 @@
-//! A node as clients see it: connections kept to it, and one attempt on one of them.
+//! A node as clients see it: a pool of connections to it, and the exchange of one attempt on one of
+//! them.
 use std::cell::{Cell, RefCell};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -14,56 +15,58 @@
 use crate::rules::CallEvent;
 use crate::stats::CallOutcome;
 
-/// A node as clients see it: an address, connections kept to it, and whether the front sends anybody there.
+/// A node as clients see it: its address, a pool of idle connections, and whether the load balancer
+/// in front of the nodes sends clients to it.
 pub struct NodeEndpoint {
-    /// The node's number.
+    /// Index of the node.
     pub node: usize,
     addr: SocketAddr,
-    /// The front sends clients there.
+    /// Whether the load balancer in front of the nodes sends clients to this node.
     pub in_rotation: Cell<bool>,
-    /// Grows whenever another process, or none, serves there.
+    /// Incremented whenever the process that serves at this address starts or ends.
     pub incarnation: Cell<u64>,
     idle: RefCell<Vec<IdleConnection>>,
     connection_slots: Semaphore,
-    /// Connections that had ended when a client wrote on them: it asked once more on a new one.
-    pub ended_under_call: Cell<u64>,
-    /// Connections that had ended before a client took them again.
+    /// Number of connections that were found closed after a request was written on them; the
+    /// request was then sent once more on a new connection.
+    pub closed_in_call: Cell<u64>,
+    /// Number of connections that were found closed when a client took them from the pool.
     pub ended_idle: Cell<u64>,
 }
 
 struct IdleConnection {
     stream: Stream,
     incarnation: u64,
-    /// The API call that was answered on it last.
+    /// Id of the API call whose response was the last one read on it.
     last_call: u64,
 }
 
-/// What became of a request on one connection.
+/// Result of one request on one connection.
 enum Exchange {
-    Answered(Response),
+    Responded(Response),
     /// The connection ended before the request was written.
     NotWritten,
-    /// The connection ended after the request was written.
-    NotAnswered,
+    /// The connection ended after the request was written and before a complete response.
+    NoResponse,
 }
 
-/// How one attempt of a client ended.
-pub(super) struct AttemptEnd {
-    pub(super) end: CallOutcome,
+/// Result of one attempt of a client.
+pub(super) struct AttemptResult {
+    pub(super) outcome: CallOutcome,
     pub(super) retry_after: Option<Duration>,
 }
 
-impl AttemptEnd {
-    pub(super) fn without_answer(end: CallOutcome) -> AttemptEnd {
-        AttemptEnd {
-            end,
+impl AttemptResult {
+    pub(super) fn new(outcome: CallOutcome) -> AttemptResult {
+        AttemptResult {
+            outcome,
             retry_after: None,
         }
     }
 }
 
 impl NodeEndpoint {
-    /// A node in rotation, and how many connections clients have to it at most.
+    /// Returns the endpoint of a node in rotation, to which clients open at most `max_connections`.
     pub fn new(node: usize, addr: SocketAddr, max_connections: usize) -> Rc<NodeEndpoint> {
         Rc::new(NodeEndpoint {
             node,
@@ -72,13 +75,13 @@
             incarnation: Cell::new(0),
             idle: RefCell::default(),
             connection_slots: Semaphore::new(max_connections),
-            ended_under_call: Cell::new(0),
+            closed_in_call: Cell::new(0),
             ended_idle: Cell::new(0),
         })
     }
 
-    /// An idle connection that still belongs to this process. Bytes that have come on one meanwhile are an answer
-    /// that nobody asked for.
+    /// Takes an idle connection to the current process out of the pool. Bytes received on an idle
+    /// connection are an unsolicited response, which is reported as an error of its last call.
     fn take_idle(&self, monitor: &RuleMonitor) -> Option<Stream> {
         while let Some(idle) = self.idle.borrow_mut().pop() {
             if idle.incarnation != self.incarnation.get() {
@@ -99,74 +102,83 @@
         Some(BufReader::new(stream))
     }
 
-    /// One attempt. The protocol has a client ask once more where its connection had been idle and ended under its
-    /// call; where another process serves by now, it does not.
-    pub(super) async fn ask(
+    /// Sends one attempt and waits for its response. As the protocol requires, the request is sent
+    /// once more, on a new connection, if a reused connection turns out to be closed; but not if
+    /// another process serves at this address by then.
+    pub(super) async fn send(
         &self,
         monitor: &RuleMonitor,
         request: &ClientRequest<'_>,
-    ) -> AttemptEnd {
+    ) -> AttemptResult {
         let Ok(_slot) = self.connection_slots.acquire().await else {
-            return AttemptEnd::without_answer(CallOutcome::NeverTaken);
+            return AttemptResult::new(CallOutcome::NeverTaken);
         };
         let incarnation = self.incarnation.get();
-        for second_time in [false, true] {
-            // Once taken, a call is lost with its connection.
-            let not_taken = match second_time {
+        for is_resend in [false, true] {
+            // A request that was written once may have been accepted by the node, so the call
+            // counts as lost with its connection, not as never taken.
+            let outcome_if_not_written = match is_resend {
                 true => CallOutcome::Closed,
                 false => CallOutcome::NeverTaken,
             };
-            let idle = match second_time {
+            let idle = match is_resend {
                 true => None,
                 false => self.take_idle(monitor),
             };
-            let fresh = idle.is_none();
+            let is_new_connection = idle.is_none();
             let stream = match idle {
                 Some(stream) => Some(stream),
                 None => self.connect().await,
             };
             let Some(mut stream) = stream else {
-                return AttemptEnd::without_answer(not_taken);
+                return AttemptResult::new(outcome_if_not_written);
             };
             let exchange = self.exchange(&mut stream, monitor, request).await;
-            let ask_again = !fresh && incarnation == self.incarnation.get();
+            let may_resend = !is_new_connection && incarnation == self.incarnation.get();
             match exchange {
-                Exchange::Answered(response) => {
-                    self.keep(stream, incarnation, request.call, monitor);
+                Exchange::Responded(response) => {
+                    self.return_to_pool(stream, incarnation, request.call, monitor);
                     return response.into();
                 }
-                Exchange::NotWritten if ask_again => {}
-                Exchange::NotWritten => return AttemptEnd::without_answer(not_taken),
-                Exchange::NotAnswered if ask_again => {
-                    self.ended_under_call.set(self.ended_under_call.get() + 1);
+                Exchange::NotWritten if may_resend => {}
+                Exchange::NotWritten => return AttemptResult::new(outcome_if_not_written),
+                Exchange::NoResponse if may_resend => {
+                    self.closed_in_call.set(self.closed_in_call.get() + 1);
                 }
-                Exchange::NotAnswered => return AttemptEnd::without_answer(CallOutcome::Closed),
+                Exchange::NoResponse => return AttemptResult::new(CallOutcome::Closed),
             }
         }
-        AttemptEnd::without_answer(CallOutcome::Closed)
+        AttemptResult::new(CallOutcome::Closed)
     }
 
-    /// Writes a request and reads its answer.
+    /// Writes a request and reads its response.
     async fn exchange(
         &self,
         stream: &mut Stream,
         monitor: &RuleMonitor,
         request: &ClientRequest<'_>,
     ) -> Exchange {
-        let written = stream.get_mut().write_all(&request.bytes()).await;
+        let written = stream.get_mut().write_all(&request.encode()).await;
         if written.is_err() {
             return Exchange::NotWritten;
         }
         monitor.taken(request.call, self.node, request.policy, request.deadline);
         let Some(response) = read_response(stream).await else {
-            return Exchange::NotAnswered;
+            return Exchange::NoResponse;
         };
         monitor.answered(request.call, self.node, response.call_event());
-        Exchange::Answered(response)
+        Exchange::Responded(response)
     }
 
-    /// Keeps a connection for the next attempt, unless bytes behind the answer are a second one.
-    fn keep(&self, stream: Stream, incarnation: u64, last_call: u64, monitor: &RuleMonitor) {
+    /// Returns a connection to the pool, unless more bytes follow the response: they are a second
+    /// response, which is reported as an error of the call.
+    fn return_to_pool(
+        &self,
+        stream: Stream,
+        incarnation: u64,
+        last_call: u64,
+        monitor: &RuleMonitor,
+    ) {
         if !stream.buffer().is_empty() {
             monitor.answered(last_call, self.node, CallEvent::Errored);
             return;
@@ -179,13 +191,13 @@
     }
 }
 
-impl From<Response> for AttemptEnd {
-    fn from(response: Response) -> AttemptEnd {
+impl From<Response> for AttemptResult {
+    fn from(response: Response) -> AttemptResult {
         match response {
-            Response::Value => AttemptEnd::without_answer(CallOutcome::Fulfilled),
-            Response::Error => AttemptEnd::without_answer(CallOutcome::Errored),
-            Response::Busy { retry_after } => AttemptEnd {
-                end: CallOutcome::RateLimited,
+            Response::Value => AttemptResult::new(CallOutcome::Fulfilled),
+            Response::Error => AttemptResult::new(CallOutcome::Errored),
+            Response::Busy { retry_after } => AttemptResult {
+                outcome: CallOutcome::RateLimited,
                 retry_after,
             },
         }
--- a/crates/lab/src/clients/mod.rs
+++ b/crates/lab/src/clients/mod.rs
@@ -1,5 +1,6 @@
-//! Clients of real nodes over loopback: open-loop, so that a slow node is asked as often as a fast one, and each latency
-//! counts from the time at which its API call was meant to be sent. Bounded in rate, time and connections.
+//! Load generator for real nodes over loopback. It is open-loop: a slow node receives as many API
+//! calls as a fast one, and each latency is measured from the time at which the call was scheduled.
+//! Rate, duration and number of connections are limited.
 mod arrivals;
 mod endpoint;
 mod request;
@@ -17,36 +18,38 @@
 use crate::scenario::Scenario;
 use crate::stats::{CallOutcome, EndedCall, Report};
 use arrivals::{Arrival, Arrivals};
-use endpoint::AttemptEnd;
+use endpoint::AttemptResult;
 use request::ClientRequest;
 
 pub use endpoint::NodeEndpoint;
-pub use request::call_number;
+pub use request::parse_call_id;
 
-/// How long past its time a client that never gives up early still listens, so that a late answer is distinguished from none.
-const LATE_ANSWER_TIME: Duration = Duration::from_millis(1_500);
+/// How long a client still reads after its timeout, so that a late response is distinguished from a
+/// missing one. Clients that give up before the product's client timeout don't read any longer.
+const LATE_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// What all clients of one run share.
+/// State shared by all clients of one run.
 struct ClientPool {
     scenario: Scenario,
-    /// The scenario's products as the policy has them.
+    /// The scenario's products in the policy's form.
     policies: Vec<quartzhub_policy::Product>,
     endpoints: Vec<Rc<NodeEndpoint>>,
     monitor: Rc<RuleMonitor>,
     report: RefCell<Report>,
     rng: RefCell<Pcg>,
-    /// Attempts of clients so far.
+    /// Number of client attempts so far; the next attempt's id.
     attempts: Cell<u64>,
 }
 
 /// An API call of one client.
 struct ClientCall {
     arrival: Arrival,
-    /// When it was meant to be sent.
-    meant_at: Instant,
+    /// When its first attempt was due, whether or not it was sent late.
+    scheduled_at: Instant,
 }
 
-/// Asks the nodes behind the endpoints as the scenario's clients would. Needs a `LocalSet`.
+/// Runs the scenario's clients against the nodes behind the endpoints. Must be called in a
+/// `LocalSet`.
 pub async fn drive(
     scenario: &Scenario,
     endpoints: &[Rc<NodeEndpoint>],
@@ -64,11 +67,14 @@
     let start = Instant::now();
     let mut tasks = JoinSet::new();
     for arrival in Arrivals::new(scenario) {
-        let meant_at = start + Duration::from_secs_f64(arrival.at_s);
-        sleep_until(meant_at).await;
+        let scheduled_at = start + Duration::from_secs_f64(arrival.at_s);
+        sleep_until(scheduled_at).await;
         while tasks.try_join_next().is_some() {}
         let pool = pool.clone();
-        let call = ClientCall { arrival, meant_at };
+        let call = ClientCall {
+            arrival,
+            scheduled_at,
+        };
         tasks.spawn_local(async move { pool.run(call).await });
     }
     while tasks.join_next().await.is_some() {}
@@ -77,12 +83,13 @@
     let sum =
         |count: fn(&NodeEndpoint) -> u64| endpoints.iter().map(|endpoint| count(endpoint)).sum();
     report.ended_idle = sum(|endpoint| endpoint.ended_idle.get());
-    report.closed_in_call = sum(|endpoint| endpoint.ended_under_call.get());
+    report.closed_in_call = sum(|endpoint| endpoint.closed_in_call.get());
     report
 }
 
 impl ClientPool {
-    /// The endpoint to which the front sends this attempt.
+    /// Draws the endpoint to which the load balancer in front of the nodes sends an attempt; `None`
+    /// if no node is in rotation.
     fn pick_endpoint(&self) -> Option<&Rc<NodeEndpoint>> {
         let in_rotation: Vec<_> = self
             .endpoints
@@ -95,20 +102,20 @@
             .copied()
     }
 
-    /// An API call with its client's retries.
+    /// Runs an API call with its client's retries, and records its result.
     async fn run(&self, call: ClientCall) {
         let max_retries = self.scenario.clients.retries;
         let mut retries = 0;
         loop {
             let attempt = self.attempt(&call, retries > 0).await;
             let ended_at = Instant::now();
-            let may_retry = self.may_retry(call.arrival.product, attempt.end);
+            let may_retry = self.may_retry(call.arrival.product, attempt.outcome);
             if !may_retry || retries == max_retries {
-                self.record(&call, attempt.end, ended_at);
+                self.record(&call, attempt.outcome, ended_at);
                 return;
             }
-            let wait = attempt.retry_after.unwrap_or_else(|| self.draw_backoff());
-            sleep_until(ended_at + wait).await;
+            let retry_delay = attempt.retry_after.unwrap_or_else(|| self.draw_backoff());
+            sleep_until(ended_at + retry_delay).await;
             retries += 1;
         }
     }
@@ -121,7 +128,7 @@
         }
     }
 
-    /// The part of the client timeout after which a client gives up.
+    /// Draws the fraction of the client timeout after which a client gives up.
     fn draw_timeout_factor(&self) -> f64 {
         let [from, to] = self.scenario.clients.client_timeout_factor;
         from + (to - from) * self.rng.borrow_mut().unit()
@@ -132,53 +139,55 @@
         Duration::from_secs_f64(self.scenario.clients.retry_wait_ms / 1000.0 * factor)
     }
 
-    /// One attempt of a client, at whichever node the front sends it to.
-    async fn attempt(&self, call: &ClientCall, retry: bool) -> AttemptEnd {
-        let number = self.attempts.get();
-        self.attempts.set(number + 1);
+    /// Runs one attempt of a client at a node in rotation.
+    async fn attempt(&self, call: &ClientCall, retry: bool) -> AttemptResult {
+        let call_id = self.attempts.get();
+        self.attempts.set(call_id + 1);
         let timeout_factor = self.draw_timeout_factor();
-        let begins_at = match retry {
+        let started_at = match retry {
             true => Instant::now(),
-            false => call.meant_at,
+            false => call.scheduled_at,
         };
         let product = &self.scenario.products[call.arrival.product];
         let client_timeout = product.timeout_ms / 1000.0 * timeout_factor;
-        let gives_up_at = begins_at + Duration::from_secs_f64(client_timeout);
+        let expires_at = started_at + Duration::from_secs_f64(client_timeout);
         let request = ClientRequest {
-            call: number,
+            call: call_id,
             key: call.arrival.key,
             product,
             policy: &self.policies[call.arrival.product],
             retry,
-            deadline: self.monitor.at(gives_up_at),
-            gives_up_at,
+            deadline: self.monitor.at(expires_at),
+            expires_at,
         };
         let Some(endpoint) = self.pick_endpoint() else {
-            return AttemptEnd::without_answer(CallOutcome::NeverTaken);
+            return AttemptResult::new(CallOutcome::NeverTaken);
         };
-        let listens_until = match timeout_factor >= 1.0 {
-            true => gives_up_at + LATE_ANSWER_TIME,
-            false => gives_up_at,
+        let read_deadline = match timeout_factor >= 1.0 {
+            true => expires_at + LATE_RESPONSE_TIMEOUT,
+            false => expires_at,
         };
-        let answer = timeout_at(listens_until, endpoint.ask(&self.monitor, &request)).await;
-        let mut attempt = answer.unwrap_or(AttemptEnd::without_answer(CallOutcome::GaveUp));
-        match attempt.end {
-            CallOutcome::GaveUp => self.monitor.record_client_left(number, endpoint.node),
-            CallOutcome::Closed => self.monitor.record_connection_closed(number, endpoint.node),
+        let result = timeout_at(read_deadline, endpoint.send(&self.monitor, &request)).await;
+        let mut attempt = result.unwrap_or(AttemptResult::new(CallOutcome::GaveUp));
+        match attempt.outcome {
+            CallOutcome::GaveUp => self.monitor.record_client_left(call_id, endpoint.node),
+            CallOutcome::Closed => self
+                .monitor
+                .record_connection_closed(call_id, endpoint.node),
             _ => {}
         }
-        // What comes later than its client waits is worth as much as nothing.
-        if Instant::now() > gives_up_at {
-            attempt.end = CallOutcome::GaveUp;
+        // A response after the client's timeout has no value.
+        if Instant::now() > expires_at {
+            attempt.outcome = CallOutcome::GaveUp;
         }
         attempt
     }
 
     fn record(&self, call: &ClientCall, end: CallOutcome, ended_at: Instant) {
         let product = &self.scenario.products[call.arrival.product];
-        let took = ended_at.saturating_duration_since(call.meant_at);
-        let in_slo = took.as_secs_f64() * 1000.0 <= product.slo_ms;
-        let part = match end {
+        let latency = ended_at.saturating_duration_since(call.scheduled_at);
+        let in_slo = latency.as_secs_f64() * 1000.0 <= product.slo_ms;
+        let earned_ratio = match end {
             CallOutcome::Fulfilled if in_slo => 1.0,
             CallOutcome::Fulfilled => product.late_priority_weight,
             _ => 0.0,
@@ -188,11 +197,11 @@
         report.end(EndedCall {
             product: call.arrival.product,
             started_at: Time::from_ms(call.arrival.at_s * 1000.0),
-            latency: Span(took.as_micros() as i64),
+            latency: Span(latency.as_micros() as i64),
             end,
             in_slo,
             priority_weight: product.priority_weight,
-            value_ratio: part,
+            value_ratio: earned_ratio,
         });
     }
 }
--- a/crates/lab/src/clients/request.rs
+++ b/crates/lab/src/clients/request.rs
@@ -1,4 +1,4 @@
-//! A client's request and its response on the wire.
+//! Encoding of a client's command and parsing of the node's response.
 use std::time::Duration;
 
 use quartzhub_node::resp::encode_command;
@@ -10,32 +10,34 @@
 use crate::rules::CallEvent;
 use crate::scenario::Product;
 
-/// Longest value that is read, in bytes.
-const MAX_VALUE: usize = 4 * 1024 * 1024;
-/// What the id of an attempt begins with on the wire.
+/// Largest accepted value in a response, in bytes.
+const MAX_VALUE_BYTES: usize = 4 * 1024 * 1024;
+/// Prefix of the ids that clients send; the attempt's number follows in hexadecimal.
 const ID_PREFIX: &str = "try-";
 
-/// A connection to a node.
+/// A buffered connection to a node.
 pub(super) type Stream = BufReader<TcpStream>;
 
-/// One attempt of a client, which is an API call for the node.
+/// One attempt of a client, which the node handles as an API call of its own.
 pub(super) struct ClientRequest<'a> {
+    /// Id of the API call at the node, unique in a run.
     pub(super) call: u64,
     pub(super) key: u64,
     pub(super) product: &'a Product,
     pub(super) policy: &'a quartzhub_policy::Product,
-    /// The client has asked for the same before.
+    /// The client has sent an earlier attempt for the same API call.
     pub(super) retry: bool,
-    /// When the client gives up, by the monitor's clock.
+    /// `expires_at` as the monitor's time.
     pub(super) deadline: Time,
-    /// When the client gives up.
-    pub(super) gives_up_at: Instant,
+    /// When the client's timeout expires.
+    pub(super) expires_at: Instant,
 }
 
 impl ClientRequest<'_> {
-    pub(super) fn bytes(&self) -> Vec<u8> {
+    /// Encodes the command, with the time that is left now as its deadline.
+    pub(super) fn encode(&self) -> Vec<u8> {
         let time_left_ms = self
-            .gives_up_at
+            .expires_at
             .saturating_duration_since(Instant::now())
             .as_millis()
             .max(1);
@@ -58,12 +60,12 @@
     }
 }
 
-/// The number of an API call, by its id on the wire.
-pub fn call_number(id: &str) -> Option<u64> {
+/// Parses the id of an API call as sent by a client; `None` if no client of this module sent it.
+pub fn parse_call_id(id: &str) -> Option<u64> {
     u64::from_str_radix(id.strip_prefix(ID_PREFIX)?, 16).ok()
 }
 
-/// A final answer.
+/// A node's final response to an API call.
 pub(super) enum Response {
     Value,
     Busy { retry_after: Option<Duration> },
@@ -71,6 +73,7 @@
 }
 
 impl Response {
+    /// Returns the event that the rule checks record for this response.
     pub(super) fn call_event(&self) -> CallEvent {
         match self {
             Response::Value => CallEvent::Fulfilled,
@@ -80,7 +83,7 @@
     }
 }
 
-/// Reads a final answer; none where the connection ends.
+/// Reads a final response; `None` if the connection ends first or the response is malformed.
 pub(super) async fn read_response(stream: &mut Stream) -> Option<Response> {
     let mut line = String::new();
     if stream.read_line(&mut line).await.ok()? == 0 || !line.ends_with('\n') {
@@ -88,14 +91,18 @@
     }
     let line = line.trim_end();
     if let Some(size) = line.strip_prefix('$') {
-        let size: usize = size.parse().ok().filter(|size| *size <= MAX_VALUE)?;
+        let size: usize = size.parse().ok().filter(|size| *size <= MAX_VALUE_BYTES)?;
         let mut value = vec![0; size + 2];
         stream.read_exact(&mut value).await.ok()?;
         return Some(Response::Value);
     }
     Some(match line.strip_prefix("-BUSY") {
-        Some(wait_ms) => Response::Busy {
-            retry_after: wait_ms.trim().parse().ok().map(Duration::from_millis),
+        Some(retry_after_ms) => Response::Busy {
+            retry_after: retry_after_ms
+                .trim()
+                .parse()
+                .ok()
+                .map(Duration::from_millis),
         },
         None => Response::Error,
     })
--- a/crates/lab/src/commands/emulate.rs
+++ b/crates/lab/src/commands/emulate.rs
@@ -1,4 +1,4 @@
-//! Subcommands that emulate: one scenario, an experiment, and the membership by itself.
+//! Subcommands that use the emulator: one scenario, an experiment, and the membership by itself.
 use std::path::PathBuf;
 
 use quartzhub_lab::fleet::Plan;
@@ -10,9 +10,10 @@
 use super::files::{in_file, prepare_folder, read, stem};
 use crate::cli::{CheckArgs, MembersArgs, RunArgs, SweepArgs};
 
-/// Fewest and most nodes of an emulated membership.
+/// Supported numbers of nodes of an emulated membership.
 const MEMBERSHIP_SIZES: std::ops::RangeInclusive<usize> = 3..=8_000;
 
+/// The kind of an input file, told by its top-level keys.
 enum FileKind {
     Scenario,
     Sweep,
@@ -20,7 +21,7 @@
 }
 
 impl FileKind {
-    fn of(text: &str) -> FileKind {
+    fn detect(text: &str) -> FileKind {
         let table = text.parse::<toml::Table>().unwrap_or_default();
         if table.contains_key("seeds") {
             FileKind::Sweep
@@ -34,7 +35,7 @@
 
 pub fn check(args: &CheckArgs) -> Result<(), LabError> {
     let text = read(&args.file)?;
-    match FileKind::of(&text) {
+    match FileKind::detect(&text) {
         FileKind::Sweep => Sweep::parse(&text).map(drop),
         FileKind::Plan => Plan::parse(&text).map(drop),
         FileKind::Scenario => Scenario::parse(&text).map(drop),
@@ -65,12 +66,12 @@
         reports.push((policy, report));
     }
     if let Some(folder) = folder {
-        print_drawn(&plot::run(&folder, &stem(&args.file, "run"), &reports)?);
+        print_written_files(&plot::run(&folder, &stem(&args.file, "run"), &reports)?);
     }
     check_rules(&reports)
 }
 
-/// A broken rule fails the run, with the history of the API call that it concerns.
+/// Returns an error with the history of the first offending API call if a rule was broken.
 fn check_rules(reports: &[(String, Report)]) -> Result<(), LabError> {
     for (policy, report) in reports {
         if let Some(violation) = report.violations.first() {
@@ -87,13 +88,13 @@
     Ok(())
 }
 
-fn print_drawn(files: &[PathBuf]) {
+fn print_written_files(files: &[PathBuf]) {
     for file in files {
         println!("drawn: {}", file.display());
     }
 }
 
-/// A report's figures, and its service by product.
+/// Formats a report's figures, and its service by product.
 pub(super) fn describe(policy: &str, report: &Report) -> String {
     let figures: Vec<_> = FIGURES
         .iter()
@@ -121,7 +122,7 @@
         let file = folder.join("table.md");
         std::fs::write(&file, &table)
             .map_err(|error| LabError(format!("{}: {error}", file.display())))?;
-        print_drawn(&plot::sweep(&folder, &sweep, &rows)?);
+        print_written_files(&plot::sweep(&folder, &sweep, &rows)?);
     }
     for row in &rows {
         if let Some(violation) = &row.first_violation {
@@ -134,7 +135,7 @@
 
 fn parse_number<T: std::str::FromStr>(flag: &str, text: &str) -> Result<T, LabError> {
     text.parse()
-        .map_err(|_| LabError(format!("--{flag}: {text:?} is no number")))
+        .map_err(|_| LabError(format!("--{flag}: {text:?} is not a number")))
 }
 
 fn parse_sizes(text: &str) -> Result<Vec<usize>, LabError> {
@@ -143,7 +144,7 @@
         MEMBERSHIP_SIZES.contains(&size).then_some(size)
     };
     let sizes: Option<Vec<usize>> = text.split(',').map(size).collect();
-    sizes.ok_or_else(|| LabError(format!("--sizes: {text:?} are no sizes from 3 to 8000")))
+    sizes.ok_or_else(|| LabError(format!("--sizes: {text:?}: expected sizes from 3 to 8000")))
 }
 
 pub fn members(args: &MembersArgs) -> Result<(), LabError> {
@@ -155,7 +156,7 @@
     let rows = gossip::play(&sizes, crashes, hours, seed);
     print!("{}", gossip::table(&rows));
     if let Some(folder) = folder {
-        print_drawn(&gossip::plot(&folder, &rows)?);
+        print_written_files(&gossip::plot(&folder, &rows)?);
     }
     Ok(())
 }
--- a/crates/lab/src/commands/mod.rs
+++ b/crates/lab/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! What each subcommand does.
+//! The subcommands.
 mod emulate;
 mod files;
 mod processes;
@@ -8,7 +8,7 @@
 
 use crate::cli::Command;
 
-/// Runs one subcommand.
+/// Runs a subcommand.
 pub fn run(command: Command) -> Result<(), LabError> {
     match command {
         Command::Load(args) => sockets::load(&args),
--- a/crates/lab/src/commands/processes.rs
+++ b/crates/lab/src/commands/processes.rs
@@ -8,14 +8,15 @@
 
 use crate::cli::{FaultyNodeArgs, GuardArgs};
 
-/// Guards against processes that outlive a rig which was killed: the system ends this one with its parent.
+/// Executes a command in this process, which the kernel kills when its parent ends. Without this,
+/// processes would outlive a rig that was killed.
 pub fn guard(args: &GuardArgs) -> Result<(), LabError> {
     set_parent_process_death_signal(Some(Signal::KILL))
         .map_err(|error| LabError(error.to_string()))?;
     let parent = getppid().map(|id| id.as_raw_nonzero().to_string());
     if parent.as_ref() != Some(&args.parent) {
-        let what = "the process that it should end with has ended";
-        return Err(LabError(what.to_owned()));
+        let message = "the parent process has already ended";
+        return Err(LabError(message.to_owned()));
     }
     let error = Command::new(&args.command[0])
         .args(&args.command[1..])
@@ -23,7 +24,7 @@
     Err(LabError(error.to_string()))
 }
 
-/// Serves in a node's place and breaks a rule.
+/// Runs a faulty node in place of a real one.
 pub fn faulty_node(args: &FaultyNodeArgs) -> Result<(), LabError> {
     let file =
         std::env::var("LB_CONFIG").map_err(|error| LabError(format!("LB_CONFIG: {error}")))?;
--- a/crates/lab/src/commands/sockets.rs
+++ b/crates/lab/src/commands/sockets.rs
@@ -1,9 +1,9 @@
-//! Subcommands that speak to real nodes over sockets.
+//! Subcommands that run real nodes or send load to them.
 use std::path::{Path, PathBuf};
 
 use quartzhub_lab::fleet::{event_log, play, Outcome, Plan, Programs};
 use quartzhub_lab::scenario::LabError;
-use quartzhub_lab::{load as load_tool, Scenario};
+use quartzhub_lab::{load as load_generator, Scenario};
 
 use super::emulate::describe;
 use super::files::{in_file, prepare_folder, read, stem};
@@ -14,39 +14,39 @@
     let node = args
         .node
         .parse()
-        .map_err(|_| LabError(format!("--node: {:?} is no address", args.node)))?;
+        .map_err(|_| LabError(format!("--node: {:?} is not an address", args.node)))?;
     let connections = args.connections.parse().map_err(|_| {
         LabError(format!(
-            "--connections: {:?} is no number",
+            "--connections: {:?} is not a number",
             args.connections
         ))
     })?;
-    load_tool::check_bounds(&scenario, node, connections)?;
+    load_generator::check_bounds(&scenario, node, connections)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(|error| LabError(error.to_string()))?;
     let report = tokio::task::LocalSet::new()
-        .block_on(&runtime, load_tool::load(&scenario, node, connections))?;
-    println!("{}", load_tool::summary_line(&report));
+        .block_on(&runtime, load_generator::load(&scenario, node, connections))?;
+    println!("{}", load_generator::summary_line(&report));
     Ok(())
 }
 
 pub fn compare(args: &CompareArgs) -> Result<(), LabError> {
     let scenario = Scenario::parse(&read(&args.file)?).map_err(in_file(&args.file))?;
-    let both = load_tool::compare(&scenario).map_err(in_file(&args.file))?;
-    let (emulated, real) = (&both.emulated, &both.real);
+    let comparison = load_generator::compare(&scenario).map_err(in_file(&args.file))?;
+    let (emulated, real) = (&comparison.emulated, &comparison.real);
     println!("{}", describe("emulated", emulated));
     println!(
         "real: {}; hit ratio {:.4}, attempts to the origin {}",
-        load_tool::summary_line(real),
-        both.real_hit_ratio,
-        both.real_origin_attempts
+        load_generator::summary_line(real),
+        comparison.real_hit_ratio,
+        comparison.real_origin_attempts
     );
     println!(
         "difference: service {:+.4}, hit ratio {:+.4}, p50 {:+.1} ms",
         real.all.service() - emulated.all.service(),
-        both.real_hit_ratio - emulated.hit_ratio(),
+        comparison.real_hit_ratio - emulated.hit_ratio(),
         (real.latency.value_at_quantile(0.5) as f64
             - emulated.latency.value_at_quantile(0.5) as f64)
             / 1000.0
@@ -54,31 +54,32 @@
     Ok(())
 }
 
-/// A plan with the file that it is from.
+/// A plan and the file that it was read from.
 struct PlanFile {
     plan: Plan,
     file: PathBuf,
 }
 
-/// How the plays of plans are printed and kept.
-struct Playing {
+/// Runs plans, prints their results and writes their files.
+struct PlanRunner {
     programs: Programs,
+    /// Output folder, if files are to be written.
     folder: Option<PathBuf>,
-    /// There are several plays: each is a row of a table, with a folder of its own.
+    /// There are several runs: each is one row of a table and has its own folder.
     is_series: bool,
 }
 
-impl Playing {
-    /// Plays a plan once; gives what failed.
-    fn play(
+impl PlanRunner {
+    /// Runs a plan once and returns its failures.
+    fn run(
         &self,
         PlanFile { plan, file }: &PlanFile,
-        number: usize,
+        play_index: usize,
     ) -> Result<Vec<String>, LabError> {
         let mut name = stem(file, "fleet");
         let mut folder = self.folder.clone();
         if self.is_series {
-            name = format!("{name}-{number}");
+            name = format!("{name}-{play_index}");
             folder = folder.map(|folder| folder.join(&name));
         }
         let outcome = play(plan, &self.programs, folder.as_deref()).map_err(in_file(file))?;
@@ -92,8 +93,8 @@
             );
         }
         if let Some(folder) = folder {
-            let kept = outcome.write_files(plan, &folder, &name)?;
-            for file in kept.iter().filter(|_| !self.is_series) {
+            let written_files = outcome.write_files(plan, &folder, &name)?;
+            for file in written_files.iter().filter(|_| !self.is_series) {
                 println!("kept: {}", file.display());
             }
         }
@@ -117,26 +118,26 @@
         .map(|file| read_plan(file))
         .collect::<Result<Vec<_>, _>>()?;
     let plays = args.plays.parse().ok().filter(|plays: &usize| *plays > 0);
-    let plays = plays.ok_or_else(|| LabError("--plays: a number of plays is needed".to_owned()))?;
+    let plays = plays.ok_or_else(|| LabError("--plays: a number above 0 is needed".to_owned()))?;
     let folder = prepare_folder(&args.out)?;
     let lab = std::env::current_exe().map_err(|error| LabError(error.to_string()))?;
-    let beside = || lab.with_file_name("quartzhub");
-    let playing = Playing {
+    let default_node = || lab.with_file_name("quartzhub");
+    let runner = PlanRunner {
         programs: Programs {
-            node: args.program.clone().unwrap_or_else(beside),
+            node: args.program.clone().unwrap_or_else(default_node),
             args: Vec::new(),
             lab,
         },
         folder,
         is_series: plays > 1 || plans.len() > 1,
     };
-    if playing.is_series {
+    if runner.is_series {
         println!("{}", Outcome::summary_heading());
     }
     let mut failures = Vec::new();
     for plan in &plans {
-        for number in 0..plays {
-            failures.extend(playing.play(plan, number)?);
+        for play_index in 0..plays {
+            failures.extend(runner.run(plan, play_index)?);
         }
     }
     match &failures[..] {
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,6 +1,7 @@
-//! The project's laboratory: an emulator of fleets, clients and networks round the unchanged policy, at sizes that
-//! sockets don't reach, and experiments on it, deterministic from a seed; and a rig that plays faults on real processes.
-//! `docs/lab.md` says what its models are and what they can't tell.
+//! The project's laboratory. An emulator runs the unchanged policy with models of the fleet, the
+//! clients and the network, at sizes that real sockets don't reach; its runs and experiments are
+//! deterministic for a seed. A rig injects faults into real processes.
+//! `docs/lab.md` describes the models and their limits.
 #![deny(missing_docs)]
 pub mod clients;
 pub mod emulator;
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,4 +1,4 @@
-//! Load on one real node over loopback, and the same scenario played both ways.
+//! Load on one real node over loopback, and the comparison of a real node with the emulator.
 use std::fmt::Display;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -16,28 +16,28 @@
 use crate::stats::Report;
 use crate::stub::StubServers;
 
-/// Most API calls a second.
+/// Highest rate of API calls, per second.
 const MAX_CALLS_PER_S: f64 = 50_000.0;
 /// Longest run, in seconds.
 const MAX_SECONDS: f64 = 600.0;
-/// Most connections of clients.
+/// Most client connections.
 const MAX_CONNECTIONS: usize = 2_000;
-/// Connections of clients to the node that is compared.
+/// Client connections to the node in a comparison.
 const COMPARE_CONNECTIONS: usize = 256;
 
-/// A real node's report in one line.
+/// Formats a real node's report as one line.
 pub fn summary_line(report: &Report) -> String {
-    let quantile = |q| report.latency.value_at_quantile(q) as f64 / 1000.0;
+    let latency_ms = |q| report.latency.value_at_quantile(q) as f64 / 1000.0;
     let all = &report.all;
     format!(
         "asked {}, fulfilled {} ({} in the SLO), rate-limited {}, errored {}, no answer {}, connection closed with no \
          answer {}, never taken {}; connections that ended while idle {}, under a call {}; service {:.4}; p50 {:.1} ms, p99 {:.1} ms, p99.9 {:.1} ms from the intended send",
         all.total, all.in_slo + all.late, all.in_slo, all.rate_limited, all.errored, all.gave_up, all.closed,
-        all.never_taken, report.ended_idle, report.closed_in_call, all.service(), quantile(0.5), quantile(0.99), quantile(0.999)
+        all.never_taken, report.ended_idle, report.closed_in_call, all.service(), latency_ms(0.5), latency_ms(0.99), latency_ms(0.999)
     )
 }
 
-/// Refuses load on a node that is not on loopback, or more load than the bounds.
+/// Returns an error if the node is not on loopback, or if the load exceeds the limits.
 pub fn check_bounds(
     scenario: &Scenario,
     node: SocketAddr,
@@ -46,18 +46,19 @@
     if !node.ip().is_loopback() {
         return Err(LabError(format!("{node} is not on loopback")));
     }
-    let within = |key: &str, value: f64, max: f64| match value > 0.0 && value <= max {
+    let check_range = |key: &str, value: f64, max: f64| match value > 0.0 && value <= max {
         true => Ok(()),
         false => Err(LabError(format!(
-            "{key}: {value} is not above 0 and up to {max}"
+            "{key}: {value} is out of range: above 0, at most {max}"
         ))),
     };
-    within("traffic.rate", scenario.traffic.rate, MAX_CALLS_PER_S)?;
-    within("seconds", scenario.seconds, MAX_SECONDS)?;
-    within("connections", connections as f64, MAX_CONNECTIONS as f64)
+    check_range("traffic.rate", scenario.traffic.rate, MAX_CALLS_PER_S)?;
+    check_range("seconds", scenario.seconds, MAX_SECONDS)?;
+    check_range("connections", connections as f64, MAX_CONNECTIONS as f64)
 }
 
-/// Asks a node as the scenario's clients would. Needs a `LocalSet`. Rules are checked as far as clients see them.
+/// Runs the scenario's clients against a node. Must be called in a `LocalSet`. The rules are
+/// checked only as far as clients observe them.
 pub async fn load(
     scenario: &Scenario,
     node: SocketAddr,
@@ -71,7 +72,7 @@
     Ok(report)
 }
 
-/// A broken rule fails the run, with the offending API call's history.
+/// Returns an error with the history of the first offending API call if a rule was broken.
 fn check_rules(monitor: &RuleMonitor) -> Result<(), LabError> {
     let (broken, count) = monitor.verdict();
     let Some(first) = broken.first() else {
@@ -89,23 +90,24 @@
     )))
 }
 
-/// What both ways of playing one scenario have shown.
-pub struct Compared {
+/// Results of one scenario in the emulator and with a real node.
+pub struct Comparison {
     /// The emulator's report.
     pub emulated: Report,
     /// The real node's report.
     pub real: Report,
     /// The hit ratio of the caches behind the real node.
     pub real_hit_ratio: f64,
-    /// Attempts of the real node to the origin.
+    /// Number of attempts that the real node sent to the origin.
     pub real_origin_attempts: u64,
 }
 
-/// Plays a scenario of one node in the emulator and by the real node, with stub servers on loopback, in this process.
-pub fn compare(scenario: &Scenario) -> Result<Compared, LabError> {
+/// Runs a scenario of one node in the emulator, then with a real node in this process and stub
+/// servers on loopback.
+pub fn compare(scenario: &Scenario) -> Result<Comparison, LabError> {
     if scenario.nodes != 1 || scenario.clients.retries != 0 || scenario.policy != "dema" {
         return Err(LabError(
-            "nodes, clients.retries, policy: one node, no retries and dema are compared".to_owned(),
+            "nodes, clients.retries, policy: a comparison needs 1, 0 and \"dema\"".to_owned(),
         ));
     }
     let emulated = crate::run(scenario)?;
@@ -116,8 +118,8 @@
     LocalSet::new().block_on(&runtime, compare_real(scenario, emulated))
 }
 
-/// Plays a scenario with a real node, beside what the emulator has shown.
-async fn compare_real(scenario: &Scenario, emulated: Report) -> Result<Compared, LabError> {
+/// Runs a scenario with a real node and returns its results beside the emulator's.
+async fn compare_real(scenario: &Scenario, emulated: Report) -> Result<Comparison, LabError> {
     let monitor = RuleMonitor::start(Span::from_ms(scenario.rules.grace_ms));
     let stubs = StubServers::new(scenario, monitor.clone())?;
     let endpoint_list = stubs.clone().listen().await?;
@@ -143,7 +145,7 @@
     check_rules(&monitor)?;
     let hits = stubs.hits.get() as f64;
     let misses = stubs.misses.get() as f64;
-    Ok(Compared {
+    Ok(Comparison {
         emulated,
         real,
         real_hit_ratio: hits / (hits + misses).max(1.0),
@@ -151,6 +153,7 @@
     })
 }
 
+/// Adds to an error that it came from the real node.
 fn in_real_node(error: impl Display) -> LabError {
     LabError(format!("the real node: {error}"))
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The laboratory's program: parses its arguments and runs the command that they name.
+//! The laboratory's program: parses the arguments and runs the subcommand that they name.
 mod cli;
 mod commands;
 
--- a/crates/lab/src/stub/mod.rs
+++ b/crates/lab/src/stub/mod.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{watch, Notify, Semaphore};
 use tokio::task::spawn_local;
 
-use crate::clients::call_number;
+use crate::clients::parse_call_id;
 use crate::rule_monitor::RuleMonitor;
 use crate::scenario::{LabError, Scenario};
 use crate::server::{Health, Server};
@@ -215,7 +215,7 @@
         id: &str,
         offset: u64,
     ) -> Option<u64> {
-        let call = call_number(id)?;
+        let call = parse_call_id(id)?;
         let sent_at = connection
             .send_times
             .as_ref()
