--- a/crates/lab/src/stub/connection.rs
+++ b/crates/lab/src/stub/connection.rs
@@ -1,4 +1,4 @@
-//! A node's connection to a stub server, and when the bytes on it were sent.
+//! A node's connection to a stub server, and the times at which the node sent bytes on it.
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -7,33 +7,33 @@
 
 /// A connection of a node.
 pub struct NodeConnection<S> {
-    /// What the server reads and writes.
+    /// The stream that the server reads from and writes to.
     pub stream: S,
-    /// The node that opened it.
+    /// Index of the node that opened it.
     pub node: usize,
-    /// When the node's bytes were sent; without it they count as sent when they are read.
+    /// When the node's bytes were sent; if `None`, bytes count as sent when the server reads them.
     pub send_times: Option<Rc<SendTimes>>,
 }
 
-/// Bytes that were sent at once.
+/// Bytes that were sent at the same time.
 struct SentBytes {
-    /// Number of bytes on the connection, these included.
+    /// Number of bytes sent on the connection so far, these included.
     total: u64,
     at: Time,
 }
 
-/// Times at which the bytes of a connection were sent.
+/// Times at which the bytes of a connection were sent, for bytes that are not yet looked up.
 #[derive(Default)]
 pub struct SendTimes(RefCell<VecDeque<SentBytes>>);
 
 impl SendTimes {
-    /// Records that bytes were sent, by how many there are in all then.
+    /// Records that bytes were sent; `total` is the number of bytes sent so far, these included.
     pub fn record(&self, total: u64, at: Time) {
         self.0.borrow_mut().push_back(SentBytes { total, at });
     }
 
-    /// When the byte at this offset was sent; what stands before it is forgotten.
-    pub(super) fn of_byte(&self, offset: u64) -> Option<Time> {
+    /// Returns when the byte at this offset was sent, and discards the times of earlier bytes.
+    pub(super) fn at_offset(&self, offset: u64) -> Option<Time> {
         let mut sent = self.0.borrow_mut();
         while sent.front().is_some_and(|first| first.total <= offset) {
             sent.pop_front();
--- a/crates/lab/src/stub/faults.rs
+++ b/crates/lab/src/stub/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of servers on their schedule, and which of a scenario's can be played.
+//! Schedule of the faults of stub servers, and which faults of a scenario they support.
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -9,56 +9,58 @@
 use crate::scenario::{FaultKind, LabError, Scenario};
 use crate::server::Health;
 
-/// Faults that can be played without discovery: they leave the server list as it is.
-const WITHOUT_DISCOVERY: [FaultKind; 4] = [
+/// Faults that don't need discovery, as they don't change the endpoint list.
+const SUPPORTED_WITHOUT_DISCOVERY: [FaultKind; 4] = [
     FaultKind::Hang,
     FaultKind::Slow,
     FaultKind::OriginSlow,
     FaultKind::HotKey,
 ];
-/// Faults that also need discovery, or the fleet rig's clients.
-const WITH_DISCOVERY: [FaultKind; 5] = [
+/// Faults that need discovery or the fleet rig's clients.
+const SUPPORTED_WITH_DISCOVERY: [FaultKind; 5] = [
     FaultKind::Crash,
     FaultKind::ColdRestart,
     FaultKind::Drain,
     FaultKind::OriginStop,
     FaultKind::Burst,
 ];
-/// How long a cold restart takes.
-const RESTART_TIME: Duration = Duration::from_millis(500);
-/// Time from the end of a drain until the cache is back, cold.
-const REPLACEMENT_TIME: Duration = Duration::from_millis(5_000);
+/// How long a cache is down in a cold restart.
+const RESTART_DURATION: Duration = Duration::from_millis(500);
+/// Time from the end of a drain until the cache is in service again, with an empty memory.
+const REPLACEMENT_DELAY: Duration = Duration::from_millis(5_000);
 
 impl StubServers {
-    /// Checks that each of a scenario's faults can be played, with or without discovery.
+    /// Returns an error if stub servers don't support one of the scenario's faults, with or without
+    /// discovery.
     pub fn playable(scenario: &Scenario, discovery: bool) -> Result<(), LabError> {
-        let can_play = |kind: &FaultKind| {
-            WITHOUT_DISCOVERY.contains(kind) || discovery && WITH_DISCOVERY.contains(kind)
+        let is_supported = |kind: &FaultKind| {
+            SUPPORTED_WITHOUT_DISCOVERY.contains(kind)
+                || discovery && SUPPORTED_WITH_DISCOVERY.contains(kind)
         };
-        let unplayable = scenario
+        let first_unsupported = scenario
             .faults
             .iter()
-            .position(|fault| !can_play(&fault.kind));
-        match unplayable {
+            .position(|fault| !is_supported(&fault.kind));
+        match first_unsupported {
             Some(i) if discovery => Err(LabError(format!(
                 "scenario.fault[{i}].kind: stub servers can't play it; [[fault]] may"
             ))),
             Some(i) => Err(LabError(format!(
-                "fault[{i}].kind: stub servers play hang, slow, origin_slow and hot_key only"
+                "fault[{i}].kind: stub servers support hang, slow, origin_slow and hot_key only"
             ))),
             None => Ok(()),
         }
     }
 
-    /// Begins the schedule of the scenario's faults.
+    /// Starts the schedule of the scenario's faults.
     pub fn play_faults(self: Rc<StubServers>) {
         for fault_index in 0..self.scenario.faults.len() {
-            spawn_local(self.clone().play_fault(fault_index));
+            spawn_local(self.clone().run_fault(fault_index));
         }
     }
 
-    /// Waits for a fault's time, and plays it from its beginning to its end.
-    async fn play_fault(self: Rc<StubServers>, fault_index: usize) {
+    /// Waits until a fault is due, injects it, and ends it after its duration.
+    async fn run_fault(self: Rc<StubServers>, fault_index: usize) {
         let fault = &self.scenario.faults[fault_index];
         let duration = Duration::from_secs_f64(fault.duration_s);
         let caches = self.affected_caches(fault_index);
@@ -84,7 +86,7 @@
             }
             FaultKind::ColdRestart => {
                 caches.iter().for_each(|cache| self.take_down(*cache));
-                sleep(RESTART_TIME).await;
+                sleep(RESTART_DURATION).await;
                 self.return_to_service(&caches);
             }
             FaultKind::Drain => {
@@ -93,14 +95,15 @@
                 }
                 sleep(duration).await;
                 self.terminate(&caches);
-                sleep(REPLACEMENT_TIME).await;
+                sleep(REPLACEMENT_DELAY).await;
                 self.return_to_service(&caches);
             }
             _ => {}
         }
     }
 
-    /// The share of the caches that a fault affects, at least one, spread over their numbers.
+    /// Returns the indexes of the caches that a fault affects: its share of them, at least one,
+    /// spread over all indexes.
     fn affected_caches(&self, fault_index: usize) -> Vec<usize> {
         let share = self.scenario.faults[fault_index].share;
         let caches = self.origin();
@@ -117,12 +120,12 @@
     }
 
     async fn slow_down(&self, servers: &[usize], factor: f64, duration: Duration) {
-        self.set_slowness(servers, factor);
+        self.set_slowdown(servers, factor);
         sleep(duration).await;
-        self.set_slowness(servers, 1.0);
+        self.set_slowdown(servers, 1.0);
     }
 
-    fn set_slowness(&self, servers: &[usize], factor: f64) {
+    fn set_slowdown(&self, servers: &[usize], factor: f64) {
         for server in servers {
             self.servers[*server].model.borrow_mut().slowdown = factor;
         }
--- a/crates/lab/src/stub/list.rs
+++ b/crates/lab/src/stub/list.rs
@@ -1,4 +1,5 @@
-//! The server list as the stubs' changes have made it, in discovery's form.
+//! The endpoint list with the changes that faults of the stub servers have made, in discovery's
+//! format.
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -6,19 +7,19 @@
 
 use super::StubServers;
 
-/// The state of a server in the list.
+/// State of a server in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListedState {
-    /// It takes attempts.
+    /// The server accepts attempts.
     InService,
-    /// It drains.
+    /// The server drains.
     Terminating,
-    /// It is not listed any more.
+    /// The server has been removed from the list.
     Terminated,
 }
 
 impl ListedState {
-    /// Its name in the list.
+    /// Returns the state's name in the list.
     pub fn name(self) -> &'static str {
         match self {
             ListedState::InService => "in_service",
@@ -28,27 +29,28 @@
     }
 }
 
-/// One change of the list.
+/// One change of the endpoint list.
 #[derive(Debug, Clone, Copy)]
 pub struct Change {
-    /// The server that changed.
+    /// Index of the server that changed.
     pub server: usize,
-    /// Its state from then on.
+    /// The server's new state.
     pub state: ListedState,
-    /// When the server was started, in milliseconds of Unix time; 0 where it does not serve.
+    /// When the server was started, in milliseconds of Unix time; 0 unless it is in service.
     pub started_ms: u64,
     /// When the change was listed.
     pub at: Time,
 }
 
 impl StubServers {
-    /// The server list as it stands, in discovery's form.
+    /// Returns the current endpoint list in discovery's format.
     pub fn list(&self, addr: impl Fn(usize) -> SocketAddr) -> serde_json::Value {
         let changes = self.changes.borrow();
         self.list_at(changes.len(), addr)
     }
 
-    /// The server list as it was after so many changes, which is its version less one.
+    /// Returns the endpoint list as it was after the first `change_count` changes. Its version is
+    /// that count plus one.
     pub fn list_at(
         &self,
         change_count: usize,
@@ -70,7 +72,7 @@
         serde_json::json!({"version": change_count + 1, "full": true, "servers": entries})
     }
 
-    /// One server's entry of the list.
+    /// Returns a server's entry of the list.
     pub fn entry(
         &self,
         server: usize,
@@ -86,7 +88,7 @@
                            "state": state.name(), "started_ms": started_ms})
     }
 
-    /// A server's id in the list.
+    /// Returns a server's id in the list.
     pub fn id(&self, server: usize) -> String {
         match server == self.origin() {
             true => "origin".to_owned(),
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Records a change, and notifies those who watch the list.
+    /// Records a change and notifies the watches of the list.
     pub(super) fn record_change(&self, server: usize, state: ListedState) {
         let unix_time = SystemTime::now()
             .duration_since(UNIX_EPOCH)
--- a/crates/lab/src/stub/mod.rs
+++ b/crates/lab/src/stub/mod.rs
@@ -1,5 +1,6 @@
-//! Stub servers for caches and the origin on loopback, as a scenario describes them: cores, work, memory, and its faults.
-//! They end with the task set that they run in. What they are sent and what they begin is reported to the monitor.
+//! Stub caches and a stub origin on loopback, with the cores, work, memory and faults that a
+//! scenario describes. They stop with the `LocalSet` that they run in. The attempts that they
+//! receive and the work that they start are reported to the rule monitor.
 mod cache;
 mod connection;
 mod faults;
@@ -26,70 +27,71 @@
 pub use connection::{NodeConnection, SendTimes};
 pub use list::{Change, ListedState};
 
-/// API calls whose misses are remembered, and idempotency keys that are.
-const MAX_REMEMBERED: usize = 100_000;
-/// Longest command or request, in bytes.
-const MAX_REQUEST: usize = 8 * 1024 * 1024;
+/// Upper limit of API calls with recorded misses, and of recorded idempotency keys.
+const MAX_RECORDS: usize = 100_000;
+/// Longest accepted command or HTTP request, in bytes.
+const MAX_REQUEST_BYTES: usize = 8 * 1024 * 1024;
 
-/// One server: its model, and what connections to it wait for.
+/// One server: its model, and what its connections wait for.
 struct StubServer {
     cores: Semaphore,
     model: RefCell<Server>,
+    /// Whether the server accepts connections.
     up: watch::Sender<bool>,
 }
 
 /// A cache that missed for an API call.
 struct CacheMiss {
     cache: usize,
-    /// It was warming up.
-    cold: bool,
+    /// Whether the cache was warming up.
+    is_cold: bool,
 }
 
-/// An idempotency key that has been seen.
-struct SeenKey {
+/// The idempotency key of a call that the origin has executed.
+struct ExecutedKey {
     at: Time,
     key: String,
 }
 
-/// All servers of a scenario, with what they have seen.
+/// All servers of a scenario, with their counters.
 pub struct StubServers {
-    /// What the servers are like.
+    /// The scenario that describes the servers.
     pub scenario: Scenario,
     products: Vec<Product>,
-    /// The caches, and the origin behind them.
+    /// The caches, followed by the origin.
     servers: Vec<StubServer>,
-    /// Judges what the servers see.
+    /// Checks the rules on the attempts and the work that the servers report.
     pub monitor: Rc<RuleMonitor>,
-    /// Which caches missed for an API call, by its id: they are given the value.
-    missed: RefCell<HashMap<String, Vec<CacheMiss>>>,
-    /// Idempotency keys of calls that have run, the oldest first.
-    seen_keys: RefCell<VecDeque<SeenKey>>,
+    /// Caches that missed for an API call, by the call's id; the origin's response fills them.
+    misses_by_call: RefCell<HashMap<String, Vec<CacheMiss>>>,
+    /// Idempotency keys of executed calls, the oldest first.
+    executed_keys: RefCell<VecDeque<ExecutedKey>>,
     rng: RefCell<Pcg>,
-    /// Changes of the server list.
+    /// Changes of the endpoint list, the oldest first.
     pub changes: RefCell<Vec<Change>>,
-    /// Notified at each change of the server list.
+    /// Notified at each change of the endpoint list.
     pub changed: Notify,
-    /// Attempts that caches had the value for.
+    /// Number of attempts for which a cache had the value.
     pub hits: Cell<u64>,
-    /// Attempts that caches did not have the value for.
+    /// Number of attempts for which a cache did not have the value.
     pub misses: Cell<u64>,
-    /// Attempts to the origin.
+    /// Number of attempts to the origin.
     pub origin_attempts: Cell<u64>,
-    /// Attempts to the origin by the second.
+    /// Number of attempts to the origin in each second since the monitor started.
     pub origin_attempts_by_second: RefCell<Vec<u64>>,
-    /// How often a server went down under too many attempts.
+    /// How often an overloaded server went down.
     pub overloads: Cell<u64>,
-    /// When each server was last sent an attempt.
+    /// When the last attempt was sent to each server, by server index; 0 before the first one.
     pub last_attempt: RefCell<Vec<Time>>,
 }
 
 impl StubServers {
-    /// The servers of a scenario, all up.
+    /// Returns the servers of a scenario, all of them up.
     pub fn new(scenario: &Scenario, monitor: Rc<RuleMonitor>) -> Result<Rc<StubServers>, LabError> {
         let mut rng = Pcg::new(scenario.seed);
         let [from, to] = scenario.caches.speed;
-        let servers = (0..=scenario.caches.count).map(|i| {
-            let origin = i == scenario.caches.count;
+        let servers = (0..=scenario.caches.count).map(|index| {
+            let origin = index == scenario.caches.count;
             let speed = match origin {
                 true => 1.0,
                 false => from + (to - from) * rng.unit(),
@@ -107,8 +109,8 @@
             products: scenario.policy_config(0).products,
             servers,
             monitor,
-            missed: RefCell::default(),
-            seen_keys: RefCell::default(),
+            misses_by_call: RefCell::default(),
+            executed_keys: RefCell::default(),
             rng: RefCell::new(rng),
             changes: RefCell::default(),
             changed: Notify::new(),
@@ -121,7 +123,8 @@
         }))
     }
 
-    /// Serves one node straight on loopback, without relays; gives the list of servers.
+    /// Listens on loopback for a single node without proxies, starts the faults' schedule, and
+    /// returns the endpoint list.
     pub async fn listen(self: Rc<StubServers>) -> Result<serde_json::Value, LabError> {
         StubServers::playable(&self.scenario, false)?;
         let in_stub = |e: io::Error| LabError(format!("a stub server: {e}"));
@@ -146,21 +149,22 @@
         Ok(self.list(|server| addrs[server]))
     }
 
-    /// The origin's place among the servers: the last.
+    /// Returns the index of the origin, which is the last server.
     pub fn origin(&self) -> usize {
         self.servers.len() - 1
     }
 
-    /// Number of servers, the origin included.
+    /// Returns the number of servers, the origin included.
     pub fn servers(&self) -> usize {
         self.servers.len()
     }
 
-    /// Whether a server's machine takes connections, and each change of that.
+    /// Returns a receiver of whether a server accepts connections, notified at each change.
     pub fn up(&self, server: usize) -> watch::Receiver<bool> {
         self.servers[server].up.subscribe()
     }
 
+    /// Stops a server: its connections end and it accepts no new ones.
     fn take_down(&self, server: usize) {
         let server = &self.servers[server];
         let mut model = server.model.borrow_mut();
@@ -170,14 +174,15 @@
         server.up.send_replace(false);
     }
 
+    /// Starts a stopped server again, with an empty memory.
     fn bring_up(&self, server: usize) {
         let server = &self.servers[server];
         server.model.borrow_mut().restart(self.monitor.now());
         server.up.send_replace(true);
     }
 
-    /// The product that a list of attributes names, by its place.
-    fn product(&self, attributes: &str) -> usize {
+    /// Returns the index of the product that a list of attributes names; 0 if there is none.
+    fn product_index(&self, attributes: &str) -> usize {
         let name = attribute(attributes, "c=");
         let product = self
             .scenario
@@ -187,27 +192,28 @@
         product.unwrap_or(0)
     }
 
-    /// Serves one connection until it ends, or the server does.
+    /// Serves one connection until it ends or the server stops.
     pub async fn serve<S: AsyncRead + AsyncWrite + Unpin>(
         self: Rc<StubServers>,
         server: usize,
         connection: NodeConnection<S>,
     ) {
         let mut up = self.up(server);
-        let served = async {
-            // A connection that ends in the middle is the node's way to cancel an attempt.
+        let serving = async {
+            // An I/O error is expected here: a node cancels an attempt by closing its connection.
             let _ = match server == self.origin() {
                 true => self.serve_as_origin(connection).await,
                 false => self.serve_as_cache(server, connection).await,
             };
         };
         tokio::select! {
-            () = served => {}
+            () = serving => {}
             _ = up.wait_for(|up| !up) => {}
         }
     }
 
-    /// Reports an attempt to the monitor as of when it was sent; gives the API call's number, if its id holds one.
+    /// Reports an attempt, with the time at which it was sent, to the monitor. Returns the id of
+    /// the API call if a client of this crate sent it.
     fn record_attempt<S>(
         &self,
         server: usize,
@@ -219,7 +225,7 @@
         let sent_at = connection
             .send_times
             .as_ref()
-            .and_then(|send_times| send_times.of_byte(offset))
+            .and_then(|send_times| send_times.at_offset(offset))
             .unwrap_or(self.monitor.now());
         self.monitor.sent(sent_at, call, connection.node, server);
         self.last_attempt.borrow_mut()[server] = sent_at;
@@ -227,7 +233,7 @@
     }
 }
 
-/// The value of an attribute, by its name with the equals sign.
+/// Returns the value of an attribute; `name` includes the equals sign.
 fn attribute<'a>(attributes: &'a str, name: &str) -> Option<&'a str> {
     attributes
         .split(',')
--- a/crates/lab/src/stub/origin.rs
+++ b/crates/lab/src/stub/origin.rs
@@ -1,19 +1,21 @@
-//! The origin's side of a connection: HTTP requests in, values out, and the caches that missed filled.
+//! The stub origin's side of a connection: reads HTTP requests, responds with values, and fills the
+//! caches that missed.
 use std::io;
 use std::rc::Rc;
 
 use quartzhub_policy::Idempotency;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-use super::{attribute, NodeConnection, SeenKey, StubServers, MAX_REMEMBERED, MAX_REQUEST};
+use super::{attribute, ExecutedKey, NodeConnection, StubServers, MAX_RECORDS, MAX_REQUEST_BYTES};
 use crate::server::{Health, Work};
 
+/// Response to every request.
 const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue";
-/// What ends the head of a request.
+/// End of a request's head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
 impl StubServers {
-    /// Answers the requests of one connection until it ends.
+    /// Responds to the requests of one connection until it ends.
     pub(super) async fn serve_as_origin<S: AsyncRead + AsyncWrite + Unpin>(
         self: &Rc<StubServers>,
         mut connection: NodeConnection<S>,
@@ -23,9 +25,9 @@
         let mut offset = 0;
         loop {
             let Some(request) = OriginRequest::parse(&buffer) else {
-                let ended = buffer.len() >= MAX_REQUEST
+                let is_end = buffer.len() >= MAX_REQUEST_BYTES
                     || connection.stream.read_buf(&mut buffer).await? == 0;
-                if ended {
+                if is_end {
                     return Ok(());
                 }
                 continue;
@@ -37,7 +39,7 @@
                 return std::future::pending().await;
             }
             self.count_origin_attempt();
-            if !self.run_at_origin(call, request).await {
+            if !self.execute_request(call, request).await {
                 return Ok(());
             }
             connection.stream.write_all(RESPONSE).await?;
@@ -53,24 +55,25 @@
         by_second[second] += 1;
     }
 
-    /// Does the work of a request, and fills or empties caches; false if the origin is overloaded by it.
-    async fn run_at_origin(
+    /// Executes a request. A read fills the caches that missed, a write removes its key from all
+    /// caches. Returns false if the request overloads the origin.
+    async fn execute_request(
         self: &Rc<StubServers>,
         call: Option<u64>,
         request: OriginRequest,
     ) -> bool {
         let origin = self.origin();
-        let missed = self
-            .missed
+        let misses = self
+            .misses_by_call
             .borrow_mut()
             .remove(&request.id)
             .unwrap_or_default();
-        let length = self.draw_work(self.scenario.origin.work_ms);
+        let base_duration = self.draw_duration(self.scenario.origin.work_ms);
         let work = Work {
             key: request.key,
             write: request.write,
-            duration: length,
-            caused_by_cold_miss: missed.iter().any(|miss| miss.cold),
+            duration: base_duration,
+            caused_by_cold_miss: misses.iter().any(|miss| miss.is_cold),
         };
         if !self.admit_work(origin, work) {
             return false;
@@ -78,13 +81,13 @@
         if let Some(call) = call.filter(|_| !self.is_repeat(&request.attributes)) {
             self.monitor.began(call, origin, false);
         }
-        self.work(origin, length).await;
+        self.run_work(origin, base_duration).await;
         if request.write {
             for server in &self.servers {
                 server.model.borrow_mut().cache.remove(request.key);
             }
         } else {
-            for miss in &missed {
+            for miss in &misses {
                 let mut model = self.servers[miss.cache].model.borrow_mut();
                 model.cache.put(request.key);
             }
@@ -92,9 +95,10 @@
         true
     }
 
-    /// Whether a deduplicated call has run already and is within its window: a repeat is dropped.
+    /// Whether a deduplicated call with the same idempotency key was executed within its window; if
+    /// not, records the key. A repeat has no effect, so it is not reported as started.
     fn is_repeat(&self, attributes: &str) -> bool {
-        let product = &self.products[self.product(attributes)];
+        let product = &self.products[self.product_index(attributes)];
         if product.idempotency != Idempotency::Deduplicated {
             return false;
         }
@@ -102,15 +106,15 @@
             return false;
         };
         let now = self.monitor.now();
-        let is_expired = |seen: &SeenKey| now - seen.at > product.dedup_window;
-        let mut seen_keys = self.seen_keys.borrow_mut();
-        while seen_keys.front().is_some_and(is_expired) || seen_keys.len() > MAX_REMEMBERED {
-            seen_keys.pop_front();
+        let is_expired = |executed: &ExecutedKey| now - executed.at > product.dedup_window;
+        let mut executed_keys = self.executed_keys.borrow_mut();
+        while executed_keys.front().is_some_and(is_expired) || executed_keys.len() > MAX_RECORDS {
+            executed_keys.pop_front();
         }
-        if seen_keys.iter().any(|seen| seen.key == key) {
+        if executed_keys.iter().any(|executed| executed.key == key) {
             return true;
         }
-        seen_keys.push_back(SeenKey {
+        executed_keys.push_back(ExecutedKey {
             at: now,
             key: key.to_owned(),
         });
@@ -118,23 +122,23 @@
     }
 }
 
-/// A node's request to the origin.
+/// An HTTP request that a node sent to the origin.
 struct OriginRequest {
     key: u64,
     write: bool,
     id: String,
     attributes: String,
-    /// Its length with the body, in bytes.
+    /// Length of head and body, in bytes.
     length: usize,
 }
 
 impl OriginRequest {
-    /// Reads a request; none if it is not complete.
+    /// Parses a request; `None` if it is not complete.
     fn parse(bytes: &[u8]) -> Option<OriginRequest> {
-        let head = bytes
+        let head_length = bytes
             .windows(HEAD_END.len())
             .position(|window| window == HEAD_END)?;
-        let text = String::from_utf8_lossy(&bytes[..head]);
+        let text = String::from_utf8_lossy(&bytes[..head_length]);
         let mut lines = text.split("\r\n");
         let request_line = lines.next()?;
         let key = request_line
@@ -149,16 +153,16 @@
             attributes: String::new(),
             length: 0,
         };
-        let mut body = 0;
+        let mut body_length = 0;
         for line in lines {
             match line.split_once(": ") {
                 Some(("X-Correlation-Id", value)) => request.id = value.to_owned(),
                 Some(("X-Facts", value)) => request.attributes = value.to_owned(),
-                Some(("Content-Length", value)) => body = value.parse().unwrap_or(0usize),
+                Some(("Content-Length", value)) => body_length = value.parse().unwrap_or(0usize),
                 _ => {}
             }
         }
-        request.length = head + HEAD_END.len() + body.min(MAX_REQUEST);
+        request.length = head_length + HEAD_END.len() + body_length.min(MAX_REQUEST_BYTES);
         (bytes.len() >= request.length).then_some(request)
     }
 }
--- a/crates/lab/src/stub/work.rs
+++ b/crates/lab/src/stub/work.rs
@@ -1,4 +1,4 @@
-//! The work of stub servers: how long it takes, and what becomes of a server that is sent too much.
+//! The work of stub servers: its duration, and the outage of a server that is overloaded by it.
 use std::f64::consts::LN_2;
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,25 +12,29 @@
 use crate::scenario::WorkDistribution;
 use crate::server::{Overload, Work, OVERLOAD_OUTAGE};
 
-/// Longest time that one piece of work takes, in microseconds.
+/// Longest duration of one piece of work, in microseconds.
 const MAX_WORK_US: i64 = 60_000_000;
 
 impl StubServers {
-    /// Holds a core for work of this length on a server of speed 1.
-    pub(super) async fn work(&self, server: usize, length: Span) {
+    /// Waits for a core and holds it for a piece of work. `base_duration` is the work's duration on
+    /// a server of speed 1 that is neither slowed down nor warming up.
+    pub(super) async fn run_work(&self, server: usize, base_duration: Span) {
         let server = &self.servers[server];
         let Ok(_core) = server.cores.acquire().await else {
             return;
         };
-        let length = server
+        let duration = server
             .model
             .borrow()
-            .service_time(length, self.monitor.now());
-        sleep(Duration::from_micros(length.0.clamp(0, MAX_WORK_US) as u64)).await;
+            .service_time(base_duration, self.monitor.now());
+        sleep(Duration::from_micros(
+            duration.0.clamp(0, MAX_WORK_US) as u64
+        ))
+        .await;
     }
 
-    /// Draws the length of a piece of work by its mean in milliseconds.
-    pub(super) fn draw_work(&self, mean_ms: f64) -> Span {
+    /// Draws the duration of a piece of work; `mean_ms` is its mean in milliseconds.
+    pub(super) fn draw_duration(&self, mean_ms: f64) -> Span {
         let rng = &mut *self.rng.borrow_mut();
         let factor = match self.scenario.caches.work {
             WorkDistribution::Fixed => 1.0,
@@ -44,7 +48,8 @@
         Span::from_ms(mean_ms * factor)
     }
 
-    /// Whether a server takes work; one that is sent too much goes down for a while.
+    /// Adds work to a server's demand and returns whether the server can bear it. A server that is
+    /// overloaded goes down for `OVERLOAD_OUTAGE`.
     pub(super) fn admit_work(self: &Rc<StubServers>, server: usize, work: Work) -> bool {
         let overload = self.servers[server].model.borrow_mut().admit_work(
             self.monitor.now(),
