--- a/crates/lab/src/routers/baseline.rs
+++ b/crates/lab/src/routers/baseline.rs
@@ -1,4 +1,5 @@
-//! A baseline: one rule for which cache, the origin for misses and writes, another attempt where rule 2 allows it.
+//! The baseline router: one rule that picks the cache, the origin for misses and writes, and
+//! retries where rule 2 (no effect twice) allows them.
 use std::collections::BTreeMap;
 
 use quartzhub_policy::{
@@ -6,7 +7,7 @@
     PolicyActions, PolicyConfig, Product, ServerIndex, Span, Time,
 };
 
-use super::pick::{murmur_mix, CacheState, Pick};
+use super::pick::{murmur_finalize, CacheState, Pick};
 use super::Router;
 
 /// Offset of the 64-bit FNV-1a hash.
@@ -14,9 +15,9 @@
 /// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x100_0000_01b3;
 
-/// What a rejected client is told to wait before its retry.
+/// Delay that a rate-limited client is asked to wait before its retry.
 const RETRY_AFTER: Span = Span::ms(100);
-/// The index that the lab's settings give the kind of an origin.
+/// Index of the origin's kind in the laboratory's settings.
 const ORIGIN_KIND: u32 = 1;
 
 fn fnv1a(text: &str) -> u64 {
@@ -25,17 +26,22 @@
     })
 }
 
+/// An attempt of an API call.
 struct Attempt {
     server: ServerIndex,
     in_flight: bool,
-    may_have_run: bool,
+    /// The server may have executed it, so it may have had an effect.
+    may_have_executed: bool,
 }
 
+/// An API call that is not yet released.
 struct Call {
     product: Product,
     key: u64,
     write: bool,
+    /// A cache did not have the value.
     missed: bool,
+    /// The final response is sent, or the client has disconnected.
     ended: bool,
     deadline: Time,
     first_sent_at: Option<Time>,
@@ -43,15 +49,19 @@
 }
 
 impl Call {
-    /// Nothing that was sent can have had an effect.
+    /// Whether no attempt so far can have had an effect.
     fn not_executed(&self) -> bool {
-        self.attempts.iter().all(|attempt| !attempt.may_have_run)
+        self.attempts
+            .iter()
+            .all(|attempt| !attempt.may_have_executed)
     }
 
-    /// Whether rule 2 allows another attempt now.
-    fn may_run(&self, now: Time) -> bool {
+    /// Whether rule 2 (no effect twice) allows another attempt now.
+    fn allows_attempt(&self, now: Time) -> bool {
         let window = self.product.dedup_window;
-        let in_window = self.first_sent_at.is_none_or(|sent| now < sent + window);
+        let in_window = self
+            .first_sent_at
+            .is_none_or(|sent_at| now < sent_at + window);
         match self.product.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::Deduplicated => self.not_executed() || in_window,
@@ -60,7 +70,8 @@
     }
 }
 
-/// A router with one rule for which cache; reads go to a cache, the last attempt, misses and writes to the origin.
+/// A router that sends reads to a cache picked by one rule; the last attempt of a call, misses and
+/// writes go to the origin.
 pub struct Baseline<P> {
     pick: P,
     products: Vec<Product>,
@@ -72,7 +83,7 @@
 }
 
 impl<P: Pick> Baseline<P> {
-    /// A router that knows no servers yet.
+    /// Returns a router without servers.
     pub fn new(pick: P, config: &PolicyConfig, seed: u64) -> Baseline<P> {
         Baseline {
             pick,
@@ -89,23 +100,24 @@
         let Some(call) = self.calls.get_mut(&index) else {
             return;
         };
-        let sent = call.attempts.len();
-        let is_last = sent + 1 >= self.max_attempts && sent > 0;
+        let sent_count = call.attempts.len();
+        let is_last = sent_count + 1 >= self.max_attempts && sent_count > 0;
         let server = if call.write || call.missed || is_last || self.caches.is_empty() {
             self.origin
         } else {
             let position = self.pick.pick(&self.caches, call.key, &mut self.rng);
             Some(self.caches[position].server)
         };
-        let may_send = call.may_run(now) && now < call.deadline && sent < self.max_attempts;
+        let may_send =
+            call.allows_attempt(now) && now < call.deadline && sent_count < self.max_attempts;
         let Some(server) = server.filter(|_| may_send) else {
-            return self.give_up(index, actions);
+            return self.end_without_value(index, actions);
         };
         call.first_sent_at.get_or_insert(now);
         call.attempts.push(Attempt {
             server,
             in_flight: true,
-            may_have_run: true,
+            may_have_executed: true,
         });
         if let Some(cache) = self.caches.iter_mut().find(|cache| cache.server == server) {
             cache.in_flight += 1;
@@ -113,8 +125,9 @@
         actions.dispatch(index, server, call.deadline, call.deadline);
     }
 
-    /// Answers without a value.
-    fn give_up<A: PolicyActions>(&mut self, index: CallIndex, actions: &mut A) {
+    /// Ends an API call without a value: it is rate-limited if it had no effect or is idempotent,
+    /// and fails otherwise.
+    fn end_without_value<A: PolicyActions>(&mut self, index: CallIndex, actions: &mut A) {
         let Some(call) = self.calls.get_mut(&index) else {
             return;
         };
@@ -127,7 +140,7 @@
         self.finish(index, actions);
     }
 
-    /// Releases an API call that has ended, or cancels its attempts that are still in flight.
+    /// Releases an ended API call, or cancels its attempts that are still in flight.
     fn finish<A: PolicyActions>(&mut self, index: CallIndex, actions: &mut A) {
         let Some(call) = self.calls.get(&index).filter(|call| call.ended) else {
             return;
@@ -137,9 +150,9 @@
             actions.release_call(index);
             return;
         }
-        for (number, attempt) in call.attempts.iter().enumerate() {
+        for (attempt_index, attempt) in call.attempts.iter().enumerate() {
             if attempt.in_flight {
-                actions.cancel(index, number);
+                actions.cancel(index, attempt_index);
             }
         }
     }
@@ -155,7 +168,7 @@
         endpoints: impl Iterator<Item = Endpoint<'a>>,
         _actions: &mut A,
     ) {
-        let known = self.caches.clone();
+        let previous = self.caches.clone();
         if complete {
             self.caches.clear();
         }
@@ -166,11 +179,11 @@
             if endpoint.kind == ORIGIN_KIND {
                 self.origin = is_ready.then_some(server);
             } else if is_ready {
-                let known = known.iter().find(|cache| cache.server == server);
+                let previous = previous.iter().find(|cache| cache.server == server);
                 self.caches.push(CacheState {
                     server,
-                    hash: murmur_mix(fnv1a(endpoint.name)),
-                    in_flight: known.map_or(0, |cache| cache.in_flight),
+                    hash: murmur_finalize(fnv1a(endpoint.name)),
+                    in_flight: previous.map_or(0, |cache| cache.in_flight),
                 });
             }
         }
@@ -221,7 +234,7 @@
             return;
         };
         attempt.in_flight = false;
-        attempt.may_have_run = !result.outcome.proves_not_executed();
+        attempt.may_have_executed = !result.outcome.proves_not_executed();
         let server = attempt.server;
         call.missed |= result.outcome == Outcome::Miss;
         call.ended |= result.call_finished;
--- a/crates/lab/src/routers/faulty.rs
+++ b/crates/lab/src/routers/faulty.rs
@@ -1,4 +1,4 @@
-//! A router that breaks one rule on purpose, to see that the check on it holds.
+//! A router that breaks one rule on purpose, to test that the rule's check detects it.
 use quartzhub_policy::{
     AttemptResult, CallIndex, CallRequest, Endpoint, EndpointState, PolicyActions, ServerIndex,
     Span, Time,
@@ -6,35 +6,36 @@
 
 use super::Router;
 
-/// How long an attempt may take that repeats what may have run.
+/// Timeout of an attempt that repeats one that may have been executed.
 const REPEAT_TIMEOUT: Span = Span::ms(100);
 
-/// A router that breaks one rule on purpose, to see that the check on it holds.
+/// Wraps a router and breaks one rule on purpose, to test that the rule's check detects it.
 pub struct FaultyRouter<R> {
     inner: R,
     misbehavior: Misbehavior,
+    /// Server that receives repeated attempts.
     repeat_server: Option<ServerIndex>,
-    /// The server that it sends to and should not.
+    /// The draining, delisted or warming-up cache to which all attempts are sent.
     forbidden_server: Option<ServerIndex>,
 }
 
-/// Which rule it breaks, and how.
+/// How the router misbehaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Misbehavior {
-    /// Gives two final answers to each API call.
-    AnswersTwice,
-    /// Gives none.
-    NeverAnswers,
-    /// Sends what may have run again, whatever its idempotency.
-    RepeatsWhatRan,
-    /// Sends to a cache that drains or is gone.
-    SendsToDraining,
-    /// Sends everything to a cache that is warming up.
-    FloodsCold,
+    /// Gives two final responses to each API call.
+    RespondsTwice,
+    /// Gives no final response.
+    NeverResponds,
+    /// Repeats an attempt that may have been executed, regardless of the product's idempotency.
+    RepeatsExecutedAttempts,
+    /// Sends all attempts to a cache that drains or is delisted.
+    SendsToDrainingCache,
+    /// Sends all attempts to a cache that is warming up.
+    OverloadsColdCache,
 }
 
 impl<R> FaultyRouter<R> {
-    /// Wraps a router that keeps the rules.
+    /// Wraps a router that follows the rules.
     pub fn new(inner: R, misbehavior: Misbehavior) -> FaultyRouter<R> {
         FaultyRouter {
             inner,
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Sets where repeats go.
-    pub fn repeats_at(mut self, server: ServerIndex) -> FaultyRouter<R> {
+    /// Sets the server to which attempts are repeated.
+    pub fn with_repeat_server(mut self, server: ServerIndex) -> FaultyRouter<R> {
         self.repeat_server = Some(server);
         self
     }
@@ -75,7 +76,7 @@
                 && endpoint.started.is_some()
                 && endpoint.state == EndpointState::Ready
         });
-        if let (Misbehavior::FloodsCold, Some(endpoint)) = (self.misbehavior, warming_up) {
+        if let (Misbehavior::OverloadsColdCache, Some(endpoint)) = (self.misbehavior, warming_up) {
             self.forbidden_server = Some(endpoint.server);
         }
         self.inner
@@ -90,13 +91,13 @@
         actions: &mut A,
     ) {
         match (self.misbehavior, self.forbidden_server) {
-            (Misbehavior::NeverAnswers, _) => {}
-            (Misbehavior::AnswersTwice, _) => {
+            (Misbehavior::NeverResponds, _) => {}
+            (Misbehavior::RespondsTwice, _) => {
                 actions.fail(call);
                 actions.fail(call);
                 actions.release_call(call);
             }
-            (Misbehavior::SendsToDraining | Misbehavior::FloodsCold, Some(server)) => {
+            (Misbehavior::SendsToDrainingCache | Misbehavior::OverloadsColdCache, Some(server)) => {
                 let deadline = now + request.time_left;
                 actions.dispatch(call, server, deadline, deadline)
             }
@@ -108,8 +109,8 @@
 
     fn withdrawn<A: PolicyActions>(&mut self, now: Time, call: CallIndex, actions: &mut A) {
         match self.misbehavior {
-            Misbehavior::NeverAnswers => actions.release_call(call),
-            Misbehavior::AnswersTwice => {}
+            Misbehavior::NeverResponds => actions.release_call(call),
+            Misbehavior::RespondsTwice => {}
             _ => self.inner.withdrawn(now, call, actions),
         }
     }
@@ -121,8 +122,8 @@
         result: AttemptResult,
         actions: &mut A,
     ) {
-        let may_have_run = !result.outcome.proves_not_executed() && !result.call_finished;
-        if self.misbehavior == Misbehavior::RepeatsWhatRan && may_have_run {
+        let may_have_executed = !result.outcome.proves_not_executed() && !result.call_finished;
+        if self.misbehavior == Misbehavior::RepeatsExecutedAttempts && may_have_executed {
             if let Some(server) = self.repeat_server {
                 let deadline = now + REPEAT_TIMEOUT;
                 return actions.dispatch(call, server, deadline, deadline);
--- a/crates/lab/src/routers/mod.rs
+++ b/crates/lab/src/routers/mod.rs
@@ -1,5 +1,6 @@
-//! What a node decides by: the project's policy, and baselines beside it behind one trait. A baseline is a textbook
-//! rule for which cache, the origin for misses and writes, and another attempt where rule 2 allows it.
+//! The routing policies of an emulated node behind one trait: the project's policy, and baselines
+//! to compare it with. A baseline picks a cache by a textbook rule, sends misses and writes to the
+//! origin, and retries where rule 2 (no effect twice) allows it.
 mod baseline;
 mod faulty;
 mod pick;
@@ -12,12 +13,13 @@
 pub use faulty::{FaultyRouter, Misbehavior};
 pub use pick::{BoundedHash, CacheState, LeastInFlight, Pick, Random, TwoChoices};
 
-/// What a node asks where each API call is to go; it answers by calling `PolicyActions`.
+/// A routing policy. A node notifies it of events, and it acts by calling `PolicyActions`.
 pub trait Router: Sized {
-    /// The node starts.
+    /// Handles the start of the node.
     fn start<A: PolicyActions>(&mut self, now: Time, actions: &mut A);
 
-    /// The endpoint list has come, or a change of it; `complete`: servers that it leaves out are gone.
+    /// Handles an endpoint list or an update of it. If `complete`, servers that it doesn't name are
+    /// delisted.
     fn list<'a, A: PolicyActions>(
         &mut self,
         now: Time,
@@ -26,7 +28,7 @@
         actions: &mut A,
     );
 
-    /// An API call has come.
+    /// Handles a new API call.
     fn call<A: PolicyActions>(
         &mut self,
         now: Time,
@@ -35,10 +37,10 @@
         actions: &mut A,
     );
 
-    /// The client of an API call has gone.
+    /// Handles the disconnection of an API call's client.
     fn withdrawn<A: PolicyActions>(&mut self, now: Time, call: CallIndex, actions: &mut A);
 
-    /// An attempt has ended.
+    /// Handles the result of an attempt.
     fn outcome<A: PolicyActions>(
         &mut self,
         now: Time,
@@ -47,7 +49,7 @@
         actions: &mut A,
     );
 
-    /// The timer that the router set has fired.
+    /// Handles the expiry of the timer that the router has set.
     fn tick<A: PolicyActions>(&mut self, now: Time, actions: &mut A);
 }
 
--- a/crates/lab/src/routers/pick.rs
+++ b/crates/lab/src/routers/pick.rs
@@ -1,28 +1,29 @@
-//! How baselines pick a cache: the textbook rules.
+//! Textbook rules by which baselines pick a cache.
 use quartzhub_policy::{Pcg, ServerIndex};
 
-/// What a baseline knows of a cache.
+/// State of a cache at a baseline.
 #[derive(Debug, Clone, Copy)]
 pub struct CacheState {
-    /// The node's index of it.
+    /// The node's index of the server.
     pub server: ServerIndex,
-    /// A hash of its name.
+    /// Hash of the server's name.
     pub hash: u64,
-    /// This node's attempts that are in flight at it.
+    /// Number of this node's attempts in flight at the cache.
     pub in_flight: u32,
 }
 
-/// How a baseline picks one of the ready caches; never called with none.
+/// A rule that picks one of the ready caches.
 pub trait Pick {
-    /// The position in `caches` of the one that the key goes to.
+    /// Returns the position in `caches` of the cache for the key. `caches` is never empty.
     fn pick(&self, caches: &[CacheState], key: u64, rng: &mut Pcg) -> usize;
 }
 
+/// Draws an index below `count`, which must be above 0.
 fn draw_index(count: usize, rng: &mut Pcg) -> usize {
     ((rng.unit() * count as f64) as usize).min(count - 1)
 }
 
-/// Any cache, by chance.
+/// A cache drawn uniformly at random.
 pub struct Random;
 
 impl Pick for Random {
@@ -36,7 +37,7 @@
 
 impl Pick for LeastInFlight {
     fn pick(&self, caches: &[CacheState], _key: u64, rng: &mut Pcg) -> usize {
-        // Ties are broken by chance. Guards against nodes that all choose the same cache.
+        // Ties are broken at random. Without this, all nodes would choose the same cache.
         let first = draw_index(caches.len(), rng);
         (0..caches.len())
             .map(|offset| (first + offset) % caches.len())
@@ -45,7 +46,8 @@
     }
 }
 
-/// Power of two choices (Mitzenmacher 2001).
+/// Power of two choices (Mitzenmacher 2001): of two random caches, the one with fewer attempts in
+/// flight.
 pub struct TwoChoices;
 
 impl Pick for TwoChoices {
@@ -60,31 +62,33 @@
     }
 }
 
-/// Consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam 2018): the first cache on the ring from
-/// the key that has under `LOAD_BOUND` times the mean in flight.
+/// Consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam 2018): the first cache
+/// on the ring from the key with fewer than `LOAD_BOUND` times the mean of attempts in flight.
 pub struct BoundedHash;
 
-/// Most attempts in flight at a cache, as a multiple of the mean.
+/// Limit of attempts in flight at a cache, as a multiple of the mean.
 const LOAD_BOUND: f64 = 1.25;
-/// Points of each cache on the ring: with one, caches would get very different parts of it.
+/// Number of points of each cache on the ring. With a single point, the fractions of the ring that
+/// caches own would differ widely.
 const RING_POINTS: u64 = 40;
 
-/// The finaliser of MurmurHash3.
-pub(super) fn murmur_mix(x: u64) -> u64 {
+/// The 64-bit finalizer of MurmurHash3.
+pub(super) fn murmur_finalize(x: u64) -> u64 {
     let x = (x ^ (x >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     let x = (x ^ (x >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
     x ^ (x >> 33)
 }
 
 impl Pick for BoundedHash {
-    fn pick(&self, caches: &[CacheState], key: u64, _chance: &mut Pcg) -> usize {
+    fn pick(&self, caches: &[CacheState], key: u64, _rng: &mut Pcg) -> usize {
         let in_flight: u32 = caches.iter().map(|cache| cache.in_flight).sum();
         let max_in_flight =
             (LOAD_BOUND * f64::from(in_flight + 1) / caches.len() as f64).ceil() as u32;
         let distance = |cache: &CacheState| {
             (0..RING_POINTS)
                 .map(|point| {
-                    murmur_mix(cache.hash ^ murmur_mix(point)).wrapping_sub(murmur_mix(key))
+                    murmur_finalize(cache.hash ^ murmur_finalize(point))
+                        .wrapping_sub(murmur_finalize(key))
                 })
                 .min()
                 .unwrap_or(0)
--- a/crates/lab/tests/closed_forms.rs
+++ b/crates/lab/tests/closed_forms.rs
@@ -1,9 +1,11 @@
-//! The emulator against closed forms: waiting times of queues, and an approximation of the hit ratio of LRU.
+//! Compares the emulator with closed forms: response times of queues, and an approximation of the
+//! hit ratio of an LRU cache.
 use quartzhub_lab::run;
 use quartzhub_lab::scenario::{Product, Scenario, WorkDistribution};
 
-/// One queue behind one node and a network without delay; every key is there.
-fn queue(cores: usize, load: f64) -> Scenario {
+/// Returns a scenario of one node and one cache with an M/M/c queue, without network delay; the
+/// cache has all keys.
+fn queue_scenario(cores: usize, load: f64) -> Scenario {
     let mut scenario = Scenario {
         nodes: 1,
         seconds: 400.0,
@@ -41,28 +43,29 @@
     scenario
 }
 
-/// Mean time in an M/M/c system, in service times (Erlang C).
-fn erlang(cores: usize, load: f64) -> f64 {
+/// Returns the mean response time of an M/M/c queue (Erlang C), as a multiple of the mean service
+/// time.
+fn erlang_c_response_time(cores: usize, load: f64) -> f64 {
     let offered = load * cores as f64;
     let term = |k: usize| (1..=k).fold(1.0, |t, i| t * offered / i as f64);
     let last = term(cores) / (1.0 - load);
-    let waits = last / ((0..cores).map(term).sum::<f64>() + last);
-    1.0 + waits / (cores as f64 * (1.0 - load))
+    let wait_probability = last / ((0..cores).map(term).sum::<f64>() + last);
+    1.0 + wait_probability / (cores as f64 * (1.0 - load))
 }
 
 #[test]
-fn queues_take_as_long_as_closed_forms_say() {
+fn mean_latency_of_queues_matches_erlang_c() {
     for (cores, load) in [(1, 0.5), (1, 0.7), (2, 0.8), (8, 0.8)] {
         let mut mean = 0.0;
         for seed in 1..=4 {
             let report = run(&Scenario {
                 seed,
-                ..queue(cores, load)
+                ..queue_scenario(cores, load)
             })
             .expect("a scenario");
             mean += report.figure("mean_ms").expect("a figure") / 4.0;
         }
-        let expected = 10.0 * erlang(cores, load);
+        let expected = 10.0 * erlang_c_response_time(cores, load);
         assert!(
             (mean / expected - 1.0).abs() < 0.05,
             "{cores} cores at {load}: {mean:.2} ms, {expected:.2} by Erlang"
@@ -70,11 +73,12 @@
     }
 }
 
-/// Che's approximation: a key is hit if it is asked again within the time in which as many other keys as fit are.
-fn che(count: u64, skew: f64, capacity: f64) -> f64 {
+/// Returns the hit ratio of an LRU cache by Che's approximation: a request hits if the last request
+/// for its key came within the time in which as many different keys as fit are requested.
+fn che_hit_ratio(count: u64, skew: f64, capacity: f64) -> f64 {
     let weights: Vec<f64> = (1..=count).map(|rank| (rank as f64).powf(-skew)).collect();
     let sum: f64 = weights.iter().sum();
-    let cached = |time: f64| {
+    let mean_cached_keys = |time: f64| {
         weights
             .iter()
             .map(|w| 1.0 - (-w / sum * time).exp())
@@ -83,7 +87,7 @@
     let (mut low, mut high) = (0.0, 1e9);
     for _ in 0..200 {
         let middle = (low + high) / 2.0;
-        if cached(middle) < capacity {
+        if mean_cached_keys(middle) < capacity {
             low = middle
         } else {
             high = middle
@@ -96,9 +100,9 @@
 }
 
 #[test]
-fn hits_of_a_memory_are_as_many_as_che_says() {
+fn lru_hit_ratio_matches_che_approximation() {
     for (count, skew, capacity) in [(5_000, 0.9, 500), (5_000, 0.6, 1_000), (2_000, 1.1, 100)] {
-        let mut scenario = queue(4, 0.3);
+        let mut scenario = queue_scenario(4, 0.3);
         scenario.keys.count = count;
         scenario.keys.skew = skew;
         scenario.caches.memory = capacity;
@@ -108,7 +112,7 @@
         scenario.traffic.rate = 200.0;
         let report = run(&scenario).expect("a scenario");
         let measured = report.hit_ratio();
-        let expected = che(count, skew, capacity as f64);
+        let expected = che_hit_ratio(count, skew, capacity as f64);
         assert!(
             (measured - expected).abs() < 0.02,
             "{count} keys, {skew}, capacity {capacity}: {measured:.3}, {expected:.3} by Che"
--- a/crates/lab/tests/validation.rs
+++ b/crates/lab/tests/validation.rs
@@ -1,5 +1,5 @@
-//! The emulator against what is known without it: conservation, repeatability, routers that break each rule on purpose,
-//! and the real node.
+//! Validates the emulator: every API call ends, runs are repeatable, routers that break a rule on
+//! purpose are detected, and results agree with the real node's.
 use quartzhub_lab::emulator::Emulator;
 use quartzhub_lab::routers::{Baseline, FaultyRouter, Misbehavior, Random};
 use quartzhub_lab::rules::Rule;
@@ -7,7 +7,8 @@
 use quartzhub_lab::{run, Report};
 use quartzhub_policy::ServerIndex;
 
-fn rough(policy: &str, seed: u64) -> Scenario {
+/// Returns a scenario with many faults.
+fn faulty_scenario(policy: &str, seed: u64) -> Scenario {
     let text = r#"
         seconds = 30.0
         settle = 5.0
@@ -43,38 +44,42 @@
     }
 }
 
-fn conserved(report: &Report) {
+/// Asserts that every API call that was started has ended, and is counted once.
+fn assert_all_calls_ended(report: &Report) {
     assert_eq!(
         report.started,
         report.ended + report.open,
-        "API calls are lost or doubled"
+        "API calls are lost or counted twice"
     );
-    assert_eq!(report.open, 0, "API calls without an end");
+    assert_eq!(report.open, 0, "API calls have not ended");
     let by_window: u64 = report.windows.iter().map(|counts| counts.ended()).sum();
     assert_eq!(by_window, report.ended);
 }
 
 #[test]
-fn every_call_ends_once_and_the_same_seed_gives_the_same_trace() {
+fn calls_end_once_and_equal_seeds_give_equal_traces() {
     for policy in ["dema", "two_choices", "bounded_hash"] {
-        let (one, again) = (
-            run(&rough(policy, 3)).expect("a run"),
-            run(&rough(policy, 3)).expect("a run"),
+        let (first_run, second_run) = (
+            run(&faulty_scenario(policy, 3)).expect("a run"),
+            run(&faulty_scenario(policy, 3)).expect("a run"),
         );
-        conserved(&one);
+        assert_all_calls_ended(&first_run);
         assert_eq!(
-            (one.trace, one.started),
-            (again.trace, again.started),
+            (first_run.trace, first_run.started),
+            (second_run.trace, second_run.started),
             "{policy}"
         );
-        assert_ne!(one.trace, run(&rough(policy, 4)).expect("a run").trace);
+        assert_ne!(
+            first_run.trace,
+            run(&faulty_scenario(policy, 4)).expect("a run").trace
+        );
     }
 }
 
 #[test]
-fn the_module_keeps_the_rules_on_a_rough_day() {
+fn policy_keeps_the_rules_under_many_faults() {
     for seed in 1..=3 {
-        let report = run(&rough("dema", seed)).expect("a run");
+        let report = run(&faulty_scenario("dema", seed)).expect("a run");
         let first = report.violations.first().map(|violation| {
             format!(
                 "{:?} at {:.0} ms: {} {}",
@@ -84,29 +89,29 @@
                 violation.history
             )
         });
-        assert_eq!(first, None, "{} broken", report.violation_count);
+        assert_eq!(first, None, "{} violations", report.violation_count);
     }
 }
 
 #[test]
-fn each_rule_is_seen_to_be_broken_by_a_policy_that_breaks_it() {
+fn each_broken_rule_is_detected() {
     let violations = |misbehavior: Misbehavior| {
-        let mut scenario = rough("dema", 5);
+        let mut scenario = faulty_scenario("dema", 5);
         scenario.clients.client_timeout_factor = [1.0, 1.0];
         scenario.caches.cold_speed_ratio = 0.1;
         scenario.caches.miss_work_ratio = 1.0;
         scenario.products[0].effect = quartzhub_lab::scenario::Effect::AtMostOnce;
         let config = |node| scenario.policy_config(node);
         let origin = ServerIndex(scenario.caches.count);
-        let make = |node, seed| {
+        let make_router = |node, seed| {
             let faulty = FaultyRouter::new(Baseline::new(Random, &config(node), seed), misbehavior);
-            if misbehavior == Misbehavior::RepeatsWhatRan {
-                faulty.repeats_at(origin)
+            if misbehavior == Misbehavior::RepeatsExecutedAttempts {
+                faulty.with_repeat_server(origin)
             } else {
                 faulty
             }
         };
-        let report = Emulator::new(&scenario, make).play();
+        let report = Emulator::new(&scenario, make_router).play();
         let rules: Vec<Rule> = report
             .violations
             .iter()
@@ -120,11 +125,11 @@
         (rules, history)
     };
     for (misbehavior, rule) in [
-        (Misbehavior::AnswersTwice, Rule::OneAnswer),
-        (Misbehavior::NeverAnswers, Rule::OneAnswer),
-        (Misbehavior::RepeatsWhatRan, Rule::NoEffectTwice),
-        (Misbehavior::SendsToDraining, Rule::Drains),
-        (Misbehavior::FloodsCold, Rule::ColdServers),
+        (Misbehavior::RespondsTwice, Rule::OneAnswer),
+        (Misbehavior::NeverResponds, Rule::OneAnswer),
+        (Misbehavior::RepeatsExecutedAttempts, Rule::NoEffectTwice),
+        (Misbehavior::SendsToDrainingCache, Rule::Drains),
+        (Misbehavior::OverloadsColdCache, Rule::ColdServers),
     ] {
         let (rules, history) = violations(misbehavior);
         assert!(rules.contains(&rule), "{misbehavior:?}: {rules:?}");
@@ -136,7 +141,7 @@
 }
 
 #[test]
-fn the_emulator_and_the_real_node_agree_on_a_small_calm_scenario() {
+fn emulator_and_real_node_agree_without_faults() {
     let text = r#"
         nodes = 1
         seconds = 6.0
@@ -155,7 +160,7 @@
         count = 4
         memory = 200
         filled = false
-        # Generous, so that a machine at work on other tests is no part of the comparison.
+        # Long timeouts, so that load on the machine from other tests does not affect the comparison.
         [[product]]
         name = "view"
         share = 0.95
@@ -171,23 +176,26 @@
         timeout_ms = 4000.0
         work_ms = 12.0
     "#;
-    let both = quartzhub_lab::load::compare(&Scenario::parse(text).expect("a scenario"))
-        .expect("both are played");
-    conserved(&both.emulated);
-    let (emulated, real) = (both.emulated.all.service(), both.real.all.service());
-    // Loose, as the machine's own lateness is in the one and not in the other.
+    let comparison = quartzhub_lab::load::compare(&Scenario::parse(text).expect("a scenario"))
+        .expect("both runs succeed");
+    assert_all_calls_ended(&comparison.emulated);
+    let (emulated, real) = (
+        comparison.emulated.all.service(),
+        comparison.real.all.service(),
+    );
+    // A loose bound, as only the real node is subject to delays of the machine that runs the test.
     assert!(
         (emulated - real).abs() < 0.1,
         "service: emulated {emulated:.3}, real {real:.3}"
     );
-    let (emulated, real) = (both.emulated.hit_ratio(), both.real_hit_ratio);
+    let (emulated, real) = (comparison.emulated.hit_ratio(), comparison.real_hit_ratio);
     assert!(
         (emulated - real).abs() < 0.1,
-        "hits: emulated {emulated:.3}, real {real:.3}"
+        "hit ratio: emulated {emulated:.3}, real {real:.3}"
     );
     assert!(
-        both.real.all.total > 400,
+        comparison.real.all.total > 400,
         "{}",
-        quartzhub_lab::load::summary_line(&both.real)
+        quartzhub_lab::load::summary_line(&comparison.real)
     );
 }
