--- a/examples/toy/src/cache.rs
+++ b/examples/toy/src/cache.rs
@@ -1,4 +1,5 @@
-//! A cache server: it answers from memory, and remembers for which API call it missed.
+//! A cache server: it replies from memory, and records each miss with its API call, so that the
+//! origin fills the cache.
 use std::io::{self, Write};
 use std::net::TcpStream;
 
@@ -8,17 +9,17 @@
 use crate::listener::read_more;
 use crate::state::SharedState;
 
-/// Serves one connection of a node.
+/// Serves one connection from a node.
 pub(crate) fn serve(index: usize, mut stream: TcpStream, state: &SharedState) -> io::Result<()> {
     let mut buffer = Vec::new();
     loop {
-        let answered = match resp::command(&buffer, &Limits::default()) {
-            Parsed::Complete(words, length) => Some((answer(index, &words, state), length)),
+        let result = match resp::command(&buffer, &Limits::default()) {
+            Parsed::Complete(words, length) => Some((execute(index, &words, state), length)),
             Parsed::Incomplete => None,
             Parsed::Malformed => return Ok(()),
         };
-        if let Some((answer, length)) = answered {
-            stream.write_all(&answer)?;
+        if let Some((reply, length)) = result {
+            stream.write_all(&reply)?;
             buffer.drain(..length);
         } else if !read_more(&mut stream, &mut buffer)? {
             return Ok(());
@@ -26,26 +27,31 @@
     }
 }
 
-fn answer(index: usize, words: &[&[u8]], state: &SharedState) -> Vec<u8> {
+/// Executes a command and returns the encoded reply.
+fn execute(index: usize, words: &[&[u8]], state: &SharedState) -> Vec<u8> {
     let text = |word: &[u8]| String::from_utf8_lossy(word).into_owned();
     let [b"OBJ.GET", key, id, ..] = words else {
         return b"-ERR only OBJ.GET is known here\r\n".to_vec();
     };
     let mut state = state.lock();
-    let mut answer = b"*3\r\n".to_vec();
+    let mut reply = b"*3\r\n".to_vec();
     let result = match state.cached[index].get(&text(key)) {
         Some(value) => {
-            resp::encode_bulk_string(&mut answer, value);
+            resp::encode_bulk_string(&mut reply, value);
             "hit"
         }
         None => {
-            answer.extend_from_slice(b"$-1\r\n");
-            state.missed.entry(text(id)).or_default().push(index);
+            reply.extend_from_slice(b"$-1\r\n");
+            state
+                .misses_by_call
+                .entry(text(id))
+                .or_default()
+                .push(index);
             "miss"
         }
     };
     println!("cache {}: {} {result}", index + 1, text(key));
-    resp::encode_bulk_string(&mut answer, result.as_bytes());
-    answer.extend_from_slice(b"$-1\r\n");
-    answer
+    resp::encode_bulk_string(&mut reply, result.as_bytes());
+    reply.extend_from_slice(b"$-1\r\n");
+    reply
 }
--- a/examples/toy/src/client.rs
+++ b/examples/toy/src/client.rs
@@ -1,4 +1,4 @@
-//! A client that sends the node one command and prints its answer.
+//! A client that sends one command to the node and prints the response.
 use std::io::{self, Write};
 use std::net::TcpStream;
 
@@ -8,24 +8,27 @@
 use crate::listener::read_more;
 use crate::NODE;
 
-/// Sends the words as one command.
-pub(crate) fn ask(words: Vec<String>) -> io::Result<()> {
-    let words: Vec<&[u8]> = words.iter().map(|word| word.as_bytes()).collect();
+/// Sends the arguments as one command and prints the response.
+pub(crate) fn send_command(arguments: Vec<String>) -> io::Result<()> {
+    let arguments: Vec<&[u8]> = arguments
+        .iter()
+        .map(|argument| argument.as_bytes())
+        .collect();
     let mut command = Vec::new();
-    resp::encode_command(&mut command, &words);
+    resp::encode_command(&mut command, &arguments);
     let mut stream = TcpStream::connect(NODE)?;
     stream.write_all(&command)?;
-    let mut answer = Vec::new();
+    let mut response = Vec::new();
     loop {
-        match resp::reply(&answer, &Limits::default()) {
+        match resp::reply(&response, &Limits::default()) {
             Parsed::Complete(..) => {
-                print!("{}", String::from_utf8_lossy(&answer));
+                print!("{}", String::from_utf8_lossy(&response));
                 return Ok(());
             }
             Parsed::Incomplete => {}
-            Parsed::Malformed => return Err(io::Error::other("no answer that could be read")),
+            Parsed::Malformed => return Err(io::Error::other("the response is malformed")),
         }
-        if !read_more(&mut stream, &mut answer)? {
+        if !read_more(&mut stream, &mut response)? {
             return Err(io::Error::other("the node closed the connection"));
         }
     }
--- a/examples/toy/src/discovery.rs
+++ b/examples/toy/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the whole list to begin with, then heartbeats.
+//! Discovery: sends the full endpoint list, and heartbeats after it if the request is a watch.
 use std::io::{self, BufReader, Write};
 use std::net::TcpStream;
 use std::thread;
@@ -7,10 +7,10 @@
 use crate::http::RequestHead;
 use crate::{CACHES, ORIGIN};
 
-/// Time between two heartbeats of a watch.
+/// Interval between two heartbeats of a watch.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Serves one connection of a node: a watch, or the list once.
+/// Serves one connection from a node: a watch, or a single response with the list.
 pub(crate) fn serve(stream: TcpStream) -> io::Result<()> {
     let mut reader = BufReader::new(stream);
     let Some(head) = RequestHead::read(&mut reader)? else {
@@ -37,6 +37,7 @@
     }
 }
 
+/// Returns the full endpoint list as JSON.
 fn endpoint_list() -> String {
     let entry = |id: String, addr: &str, kind: &str| {
         format!(
--- a/examples/toy/src/http.rs
+++ b/examples/toy/src/http.rs
@@ -1,13 +1,13 @@
-//! The heads of HTTP requests.
+//! Parsing of HTTP request heads.
 use std::io::{self, BufRead};
 
-/// A field of a request's head.
+/// A header field.
 struct Field {
     name: String,
     value: String,
 }
 
-/// The head of a request.
+/// The request line and header fields of an HTTP request.
 pub(crate) struct RequestHead {
     /// Method, path and version.
     pub(crate) request_line: String,
@@ -15,7 +15,7 @@
 }
 
 impl RequestHead {
-    /// Reads a head; none at the end of the connection.
+    /// Reads a request head; `None` at the end of the connection.
     pub(crate) fn read(reader: &mut impl BufRead) -> io::Result<Option<RequestHead>> {
         let mut request_line = String::new();
         if reader.read_line(&mut request_line)? == 0 {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The value of a field; empty if there is none.
+    /// Returns the value of a field; empty if there is none.
     pub(crate) fn field(&self, name: &str) -> &str {
         let field = self
             .fields
--- a/examples/toy/src/listener.rs
+++ b/examples/toy/src/listener.rs
@@ -1,13 +1,13 @@
-//! Listening sockets with a thread for each connection.
+//! Listening sockets that serve each connection on its own thread.
 use std::io::{self, Read};
 use std::net::{TcpListener, TcpStream};
 use std::sync::Arc;
 use std::thread;
 
-/// Bytes that are read at once.
-const READ_SIZE: usize = 4096;
+/// Largest number of bytes read at once.
+const READ_SIZE_BYTES: usize = 4096;
 
-/// Listens, and gives each connection a thread.
+/// Starts to listen, and calls `handle` on a new thread for each connection.
 pub(crate) fn serve(
     addr: &str,
     handle: impl Fn(TcpStream) -> io::Result<()> + Send + Sync + 'static,
@@ -18,16 +18,16 @@
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let handle = handle.clone();
-            // A connection that breaks is the other side's to open again.
+            // Errors are ignored: the peer reconnects after a broken connection.
             thread::spawn(move || handle(stream).ok());
         }
     });
     Ok(())
 }
 
-/// Appends what can be read; false at the end.
+/// Reads available bytes and appends them to the buffer; returns false at the end of the stream.
 pub(crate) fn read_more(stream: &mut impl Read, buffer: &mut Vec<u8>) -> io::Result<bool> {
-    let mut chunk = [0; READ_SIZE];
+    let mut chunk = [0; READ_SIZE_BYTES];
     let count = stream.read(&mut chunk)?;
     buffer.extend_from_slice(&chunk[..count]);
     Ok(count > 0)
--- a/examples/toy/src/origin.rs
+++ b/examples/toy/src/origin.rs
@@ -1,4 +1,4 @@
-//! The origin: it stores what is written, and fills the caches that missed.
+//! The origin: it stores written values, and fills the caches that missed.
 use std::io::{self, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::thread;
@@ -7,38 +7,39 @@
 use crate::http::RequestHead;
 use crate::state::SharedState;
 
-/// How long the origin takes for anything.
-const RESPONSE_TIME: Duration = Duration::from_millis(40);
-/// Longest value that is read, in bytes.
-const MAX_BODY: usize = 64 * 1024;
+/// Delay of each response.
+const RESPONSE_DELAY: Duration = Duration::from_millis(40);
+/// Longest accepted request body, in bytes.
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Serves one connection of a node.
+/// Serves one connection from a node.
 pub(crate) fn serve(stream: TcpStream, state: &SharedState) -> io::Result<()> {
     let mut reader = BufReader::new(stream);
     while let Some(head) = RequestHead::read(&mut reader)? {
         let body_size: usize = head.field("Content-Length").parse().unwrap_or(0);
-        let mut body = vec![0; body_size.min(MAX_BODY)];
+        let mut body = vec![0; body_size.min(MAX_BODY_BYTES)];
         reader.read_exact(&mut body)?;
-        thread::sleep(RESPONSE_TIME);
-        let mut words = head.request_line.split(' ');
-        let method = words.next().unwrap_or("");
-        let key = words.next().unwrap_or("").trim_start_matches('/');
+        thread::sleep(RESPONSE_DELAY);
+        let mut parts = head.request_line.split(' ');
+        let method = parts.next().unwrap_or("");
+        let key = parts.next().unwrap_or("").trim_start_matches('/');
         println!("origin: {method} {key}");
-        let answer = match method {
+        let response_body = match method {
             "PUT" => put(key, body, state),
             _ => get(key, head.field("X-Correlation-Id"), state),
         };
         let head = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n",
-            answer.len()
+            response_body.len()
         );
         reader
             .get_mut()
-            .write_all(&[head.into_bytes(), answer].concat())?;
+            .write_all(&[head.into_bytes(), response_body].concat())?;
     }
     Ok(())
 }
 
+/// Stores a value and removes its key from all caches.
 fn put(key: &str, value: Vec<u8>, state: &SharedState) -> Vec<u8> {
     let mut state = state.lock();
     for cached in &mut state.cached {
@@ -48,14 +49,14 @@
     b"stored".to_vec()
 }
 
-/// The value under a key, which the caches that missed for the API call are given.
+/// Returns a key's value, and stores it in the caches that missed for the API call.
 fn get(key: &str, call_id: &str, state: &SharedState) -> Vec<u8> {
     let mut state = state.lock();
     let value = match state.stored.get(key) {
         Some(value) => value.clone(),
         None => format!("what the origin has under {key}").into_bytes(),
     };
-    for cache in state.missed.remove(call_id).unwrap_or_default() {
+    for cache in state.misses_by_call.remove(call_id).unwrap_or_default() {
         state.cached[cache].insert(key.to_owned(), value.clone());
     }
     value
--- a/examples/toy/src/state.rs
+++ b/examples/toy/src/state.rs
@@ -1,21 +1,21 @@
-//! What the cache servers and the origin hold, in one place for all their threads.
+//! State of the cache servers and the origin, shared by all their threads.
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use crate::CACHES;
 
-/// Values and misses of the toy fleet.
+/// Values and pending misses of the toy deployment.
 #[derive(Default)]
 pub(crate) struct FleetState {
-    /// What each cache holds, by key.
+    /// Values in each cache, by key.
     pub(crate) cached: [HashMap<String, Vec<u8>>; CACHES.len()],
-    /// What was written to the origin, by key.
+    /// Values written to the origin, by key.
     pub(crate) stored: HashMap<String, Vec<u8>>,
-    /// Which caches missed for an API call, by its id.
-    pub(crate) missed: HashMap<String, Vec<usize>>,
+    /// Indexes of the caches that missed for an API call, by the call's id.
+    pub(crate) misses_by_call: HashMap<String, Vec<usize>>,
 }
 
-/// The state as each thread has it.
+/// A cloneable handle to the shared state.
 #[derive(Clone, Default)]
 pub(crate) struct SharedState(Arc<Mutex<FleetState>>);
 
