--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -131,7 +131,7 @@
     /// policies to run instead of the scenario's
     #[arg(long, value_name = "A,B")]
     pub policies: Option<String>,
-    /// also print for each second where attempts went
+    /// also print, for each second, where attempts went
     #[arg(long)]
     pub seconds: bool,
     #[command(flatten)]
--- a/crates/lab/src/clients/arrivals.rs
+++ b/crates/lab/src/clients/arrivals.rs
@@ -6,7 +6,7 @@
 use crate::scenario::{Fault, FaultKind, Scenario};
 
 /// XORed into the scenario's seed, so that arrivals don't share a random stream with other draws.
-const SEED_OFFSET: u64 = 0x7261_7465;
+const ARRIVALS_SEED_MASK: u64 = 0x7261_7465;
 
 /// An API call that a client starts.
 pub(super) struct Arrival {
@@ -32,7 +32,7 @@
         let skew = Some(keys.skew).filter(|skew| *skew > 0.0);
         Arrivals {
             scenario,
-            rng: Pcg::new(scenario.seed ^ SEED_OFFSET),
+            rng: Pcg::new(scenario.seed ^ ARRIVALS_SEED_MASK),
             key_distribution: skew.and_then(|skew| Zipf::new(keys.count as f64, skew).ok()),
             share_sum: scenario.products.iter().map(|product| product.share).sum(),
             at_s: 0.0,
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -19,7 +19,7 @@
 /// Highest rate of API calls, per second.
 const MAX_CALLS_PER_S: f64 = 50_000.0;
 /// Longest run, in seconds.
-const MAX_SECONDS: f64 = 600.0;
+const MAX_DURATION_S: f64 = 600.0;
 /// Most client connections.
 const MAX_CONNECTIONS: usize = 2_000;
 /// Client connections to the node in a comparison.
@@ -53,7 +53,7 @@
         ))),
     };
     check_range("traffic.rate", scenario.traffic.rate, MAX_CALLS_PER_S)?;
-    check_range("seconds", scenario.seconds, MAX_SECONDS)?;
+    check_range("seconds", scenario.seconds, MAX_DURATION_S)?;
     check_range("connections", connections as f64, MAX_CONNECTIONS as f64)
 }
 
@@ -114,7 +114,7 @@
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(in_real_node)?;
+        .map_err(real_node_error)?;
     LocalSet::new().block_on(&runtime, compare_real(scenario, emulated))
 }
 
@@ -123,15 +123,15 @@
     let monitor = RuleMonitor::start(Span::from_ms(scenario.rules.grace_ms));
     let stubs = StubServers::new(scenario, monitor.clone())?;
     let endpoint_list = stubs.clone().listen().await?;
-    let listener = TcpListener::bind("127.0.0.1:0").map_err(in_real_node)?;
-    listener.set_nonblocking(true).map_err(in_real_node)?;
-    let addr = listener.local_addr().map_err(in_real_node)?;
+    let listener = TcpListener::bind("127.0.0.1:0").map_err(real_node_error)?;
+    listener.set_nonblocking(true).map_err(real_node_error)?;
+    let addr = listener.local_addr().map_err(real_node_error)?;
     let config = serde_json::json!({
         "name": "lab", "listen": addr.to_string(), "seed": format!("{:x}", scenario.seed),
         "known": endpoint_list, "settings": scenario.settings_json(0),
     });
     let config =
-        Config::parse(&config.to_string(), Environment::default()).map_err(in_real_node)?;
+        Config::parse(&config.to_string(), Environment::default()).map_err(real_node_error)?;
     let reload = Rc::new(Notify::new());
     let node = spawn_local(quartzhub_node::serve(
         config,
@@ -154,6 +154,6 @@
 }
 
 /// Adds to an error that it came from the real node.
-fn in_real_node(error: impl Display) -> LabError {
+fn real_node_error(error: impl Display) -> LabError {
     LabError(format!("the real node: {error}"))
 }
--- a/crates/lab/src/routers/baseline.rs
+++ b/crates/lab/src/routers/baseline.rs
@@ -15,7 +15,7 @@
 /// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x100_0000_01b3;
 
-/// Delay that a rate-limited client is asked to wait before its retry.
+/// Retry delay that is sent to rate-limited clients.
 const RETRY_AFTER: Span = Span::ms(100);
 /// Index of the origin's kind in the laboratory's settings.
 const ORIGIN_KIND: u32 = 1;
--- a/crates/lab/src/stub/connection.rs
+++ b/crates/lab/src/stub/connection.rs
@@ -22,7 +22,8 @@
     at: Time,
 }
 
-/// Times at which the bytes of a connection were sent, for bytes that are not yet looked up.
+/// Times at which the bytes of a connection were sent. Times of bytes before the last one that was
+/// looked up are discarded.
 #[derive(Default)]
 pub struct SendTimes(RefCell<VecDeque<SentBytes>>);
 
--- a/crates/lab/src/stub/mod.rs
+++ b/crates/lab/src/stub/mod.rs
@@ -127,11 +127,11 @@
     /// returns the endpoint list.
     pub async fn listen(self: Rc<StubServers>) -> Result<serde_json::Value, LabError> {
         StubServers::playable(&self.scenario, false)?;
-        let in_stub = |e: io::Error| LabError(format!("a stub server: {e}"));
+        let stub_error = |e: io::Error| LabError(format!("a stub server: {e}"));
         let mut addrs = Vec::new();
         for server in 0..self.servers.len() {
-            let listener = TcpListener::bind("127.0.0.1:0").await.map_err(in_stub)?;
-            addrs.push(listener.local_addr().map_err(in_stub)?);
+            let listener = TcpListener::bind("127.0.0.1:0").await.map_err(stub_error)?;
+            addrs.push(listener.local_addr().map_err(stub_error)?);
             let stubs = self.clone();
             spawn_local(async move {
                 while let Ok((stream, _)) = listener.accept().await {
--- a/crates/lab/tests/closed_forms.rs
+++ b/crates/lab/tests/closed_forms.rs
@@ -62,8 +62,8 @@
                 seed,
                 ..queue_scenario(cores, load)
             })
-            .expect("a scenario");
-            mean += report.figure("mean_ms").expect("a figure") / 4.0;
+            .expect("the scenario is valid");
+            mean += report.figure("mean_ms").expect("the figure exists") / 4.0;
         }
         let expected = 10.0 * erlang_c_response_time(cores, load);
         assert!(
@@ -110,7 +110,7 @@
         scenario.seconds = 300.0;
         scenario.settle = 50.0;
         scenario.traffic.rate = 200.0;
-        let report = run(&scenario).expect("a scenario");
+        let report = run(&scenario).expect("the scenario is valid");
         let measured = report.hit_ratio();
         let expected = che_hit_ratio(count, skew, capacity as f64);
         assert!(
--- a/crates/lab/tests/validation.rs
+++ b/crates/lab/tests/validation.rs
@@ -8,7 +8,7 @@
 use quartzhub_policy::ServerIndex;
 
 /// Returns a scenario with many faults.
-fn faulty_scenario(policy: &str, seed: u64) -> Scenario {
+fn scenario_with_faults(policy: &str, seed: u64) -> Scenario {
     let text = r#"
         seconds = 30.0
         settle = 5.0
@@ -40,7 +40,7 @@
     Scenario {
         seed,
         policy: policy.into(),
-        ..Scenario::parse(text).expect("a scenario")
+        ..Scenario::parse(text).expect("the scenario is valid")
     }
 }
 
@@ -60,8 +60,8 @@
 fn calls_end_once_and_equal_seeds_give_equal_traces() {
     for policy in ["dema", "two_choices", "bounded_hash"] {
         let (first_run, second_run) = (
-            run(&faulty_scenario(policy, 3)).expect("a run"),
-            run(&faulty_scenario(policy, 3)).expect("a run"),
+            run(&scenario_with_faults(policy, 3)).expect("the run succeeds"),
+            run(&scenario_with_faults(policy, 3)).expect("the run succeeds"),
         );
         assert_all_calls_ended(&first_run);
         assert_eq!(
@@ -71,7 +71,9 @@
         );
         assert_ne!(
             first_run.trace,
-            run(&faulty_scenario(policy, 4)).expect("a run").trace
+            run(&scenario_with_faults(policy, 4))
+                .expect("the run succeeds")
+                .trace
         );
     }
 }
@@ -79,7 +81,7 @@
 #[test]
 fn policy_keeps_the_rules_under_many_faults() {
     for seed in 1..=3 {
-        let report = run(&faulty_scenario("dema", seed)).expect("a run");
+        let report = run(&scenario_with_faults("dema", seed)).expect("the run succeeds");
         let first = report.violations.first().map(|violation| {
             format!(
                 "{:?} at {:.0} ms: {} {}",
@@ -96,7 +98,7 @@
 #[test]
 fn each_broken_rule_is_detected() {
     let violations = |misbehavior: Misbehavior| {
-        let mut scenario = faulty_scenario("dema", 5);
+        let mut scenario = scenario_with_faults("dema", 5);
         scenario.clients.client_timeout_factor = [1.0, 1.0];
         scenario.caches.cold_speed_ratio = 0.1;
         scenario.caches.miss_work_ratio = 1.0;
@@ -176,8 +178,9 @@
         timeout_ms = 4000.0
         work_ms = 12.0
     "#;
-    let comparison = quartzhub_lab::load::compare(&Scenario::parse(text).expect("a scenario"))
-        .expect("both runs succeed");
+    let comparison =
+        quartzhub_lab::load::compare(&Scenario::parse(text).expect("the scenario is valid"))
+            .expect("both runs succeed");
     assert_all_calls_ended(&comparison.emulated);
     let (emulated, real) = (
         comparison.emulated.all.service(),
