--- a/crates/lab/src/fleet/datagrams.rs
+++ b/crates/lab/src/fleet/datagrams.rs
@@ -1,5 +1,6 @@
-//! A relay of datagrams between nodes: a socket for each ordered pair, so that each link can be impaired by itself, and each node sees
-//! the others under the addresses that its configuration names.
+//! A relay of datagrams between nodes. It has a socket for each ordered pair of nodes, so that each
+//! link can be impaired separately and each node sees its peers under the addresses that its
+//! configuration names.
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -14,48 +15,51 @@
 use super::link::Link;
 use crate::rule_monitor::RuleMonitor;
 
-/// Datagrams of one link that are remembered.
+/// Number of the latest datagrams of one link that are kept for replay.
 const RECENT_PER_LINK: usize = 8;
-/// The platform's bound on a datagram, in bytes; a longer one voids a run.
+/// The platform's limit on the size of a datagram, in bytes; a longer one breaks the platform rule.
 pub const MAX_SIZE: usize = 256;
-/// Longest datagram of random bytes in a flood, in bytes.
-const MAX_NOISE: f64 = 300.0;
-/// Part of a flood's datagrams that are random bytes.
-const NOISE_PART: f64 = 0.4;
-/// Part of a flood's datagrams that are random bytes or have a bit flipped; the others are repeated.
-const CORRUPT_PART: f64 = 0.8;
+/// Exclusive upper bound on the size of a flood's random datagrams, in bytes.
+const MAX_RANDOM_SIZE: f64 = 300.0;
+/// Fraction of a flood's datagrams that are random bytes.
+const RANDOM_FRACTION: f64 = 0.4;
+/// Fraction of a flood's datagrams that are random bytes or have one bit flipped; the others are
+/// exact repetitions.
+const CORRUPT_FRACTION: f64 = 0.8;
 
-/// The sender and the receiver of a datagram, by their nodes.
+/// An ordered pair of nodes: the sender and the receiver of a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct NodePair {
-    /// The node that sends.
+    /// Index of the sending node.
     pub from: usize,
-    /// The node that receives.
+    /// Index of the receiving node.
     pub to: usize,
 }
 
 /// A datagram between two nodes.
 #[derive(Debug, Clone)]
 pub struct Datagram {
-    /// Its sender and its receiver.
+    /// Sender and receiver.
     pub pair: NodePair,
-    /// What it says.
+    /// Content of the datagram.
     pub bytes: Vec<u8>,
 }
 
 /// The sockets of all pairs, and the links between them.
 pub struct DatagramRelay {
-    /// At the pair (from, to): where `from` sends what is for `to`, and what reaches `from` of `to`.
+    /// By the pair (from, to): the socket to which `from` sends its datagrams for `to`, and from
+    /// which `from` receives those of `to`.
     sockets: HashMap<NodePair, Rc<UdpSocket>>,
     links: HashMap<NodePair, Rc<Link>>,
-    /// Where each node really listens.
+    /// Address on which each node listens for its peers.
     node_addrs: Vec<SocketAddr>,
-    /// The last datagrams of each link, to be replayed.
+    /// The latest datagrams of each link, for replay.
     recent: RefCell<HashMap<NodePair, VecDeque<Vec<u8>>>>,
 }
 
 impl DatagramRelay {
-    /// Opens a socket for each pair, at the address under which the first sees the second.
+    /// Opens a socket for each pair, at the address `relay_addr(from, to)` under which `from` sees
+    /// `to`.
     pub async fn open(
         node_addrs: Vec<SocketAddr>,
         relay_addr: impl Fn(usize, usize) -> SocketAddr,
@@ -76,7 +80,7 @@
         }))
     }
 
-    /// Relays between all pairs for ever.
+    /// Starts a task for each pair that relays its datagrams until the run ends.
     pub fn run(self: &Rc<DatagramRelay>, monitor: &Rc<RuleMonitor>) {
         for pair in self.sockets.keys() {
             spawn_local(self.clone().relay(*pair, monitor.clone()));
@@ -88,7 +92,7 @@
         let link = self.links[&pair].clone();
         let mut buffer = vec![0; 2 * MAX_SIZE];
         loop {
-            // An error here is of an earlier datagram that found nobody.
+            // An error here reports that an earlier datagram reached no listening socket.
             let Ok((size, sender)) = socket.recv_from(&mut buffer).await else {
                 continue;
             };
@@ -106,14 +110,14 @@
                 pair,
                 bytes: buffer[..size].to_vec(),
             };
-            self.remember(&datagram);
+            self.keep_recent(&datagram);
             for arrival in link.datagram_arrivals(size).into_iter().flatten() {
                 let (relay, link, datagram) = (self.clone(), link.clone(), datagram.clone());
                 spawn_local(async move {
                     sleep_until(arrival).await;
-                    // What was under way when a partition began is lost with it.
+                    // A datagram in flight when a partition begins is lost.
                     if !link.impairment().partitioned {
-                        link.arrived.set(link.arrived.get() + 1);
+                        link.datagrams_arrived.set(link.datagrams_arrived.get() + 1);
                         relay.deliver(&datagram).await;
                     }
                 });
@@ -121,7 +125,7 @@
         }
     }
 
-    fn remember(&self, datagram: &Datagram) {
+    fn keep_recent(&self, datagram: &Datagram) {
         let mut recent = self.recent.borrow_mut();
         let recent = recent.entry(datagram.pair).or_default();
         recent.push_back(datagram.bytes.clone());
@@ -130,7 +134,7 @@
         }
     }
 
-    /// The last datagrams that a node has sent.
+    /// Returns the latest datagrams that a node has sent.
     pub fn recent_from(&self, from: usize) -> Vec<Datagram> {
         let recent = self.recent.borrow();
         let links = recent.iter().filter(|(pair, _)| pair.from == from);
@@ -144,8 +148,9 @@
             .collect()
     }
 
-    /// Delivers to a node what no peer has sent: random bytes, a datagram with a bit flipped, or one again.
-    pub async fn send_corrupt(&self, to: usize, rng: &mut Pcg) {
+    /// Delivers one datagram of a flood to a node, under the address of a random peer: random
+    /// bytes, the peer's last datagram with one bit flipped, or that datagram once more.
+    pub async fn send_flood_datagram(&self, to: usize, rng: &mut Pcg) {
         let from = (rng.unit() * self.node_addrs.len() as f64) as usize;
         if from == to {
             return;
@@ -158,18 +163,18 @@
             .and_then(|datagrams| datagrams.back().cloned());
         let mut bytes = last.unwrap_or_default();
         let kind = rng.unit();
-        if kind < NOISE_PART || bytes.is_empty() {
-            bytes = (0..(rng.unit() * MAX_NOISE) as usize)
+        if kind < RANDOM_FRACTION || bytes.is_empty() {
+            bytes = (0..(rng.unit() * MAX_RANDOM_SIZE) as usize)
                 .map(|_| (rng.unit() * 256.0) as u8)
                 .collect();
-        } else if kind < CORRUPT_PART {
+        } else if kind < CORRUPT_FRACTION {
             let index = (rng.unit() * bytes.len() as f64) as usize;
             bytes[index] ^= 1 << (rng.unit() * 8.0) as u8;
         }
         self.deliver(&Datagram { pair, bytes }).await;
     }
 
-    /// Delivers a datagram as if its sender's peer address had sent it.
+    /// Delivers a datagram from the address under which the receiver knows its sender.
     pub async fn deliver(&self, datagram: &Datagram) {
         let NodePair { from, to } = datagram.pair;
         let reverse = NodePair { from: to, to: from };
--- a/crates/lab/src/fleet/discovery.rs
+++ b/crates/lab/src/fleet/discovery.rs
@@ -1,4 +1,5 @@
-//! A stub for discovery, as each node's own agent: a watch that reports changes of the list, late to each node by itself.
+//! A stub of discovery, seen by each node as its own agent. It serves watches that report changes
+//! of the endpoint list, with a random delay that differs between nodes.
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,53 +13,57 @@
 use super::proxy::Connection;
 use crate::stub::{Change, ListedState, StubServers};
 
-/// Silence after which a watch shows that it is alive.
+/// Time without an event after which a watch sends a heartbeat.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// Longest head of a request, in bytes.
-const MAX_HEAD: usize = 8 * 1024;
-/// Least wait for the next change, in microseconds.
-const MIN_WAIT_US: i64 = 1_000;
-/// How a watch begins.
+/// Length beyond which a request without a complete head is abandoned, in bytes.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Shortest delay until a watch looks for the next change, in microseconds.
+const MIN_DELAY_US: i64 = 1_000;
+/// Head of the response that carries a watch.
 const RESPONSE_HEAD: &[u8] =
     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// One node's discovery.
+/// The discovery stub of one node.
 pub struct DiscoveryStub {
-    /// The servers whose list it is.
+    /// The listed servers.
     pub stubs: Rc<StubServers>,
-    /// The node that watches.
+    /// Index of the watching node.
     pub node: usize,
-    /// Where the node reaches each server.
+    /// Address at which the node reaches each server.
     pub addrs: Vec<SocketAddr>,
 }
 
-/// Changes that a node hears of by now, and how long until the next.
+/// The changes that are due for the node by now.
 struct DueChanges {
+    /// Number of due changes.
     count: usize,
+    /// Time until the next change is due; `None` if no further change is known.
     until_next: Option<Span>,
 }
 
-/// A server, and whether the list has it draining or gone.
-struct ServerOut {
+/// The availability of one server in the endpoint list.
+struct ServerAvailability {
     server: usize,
-    out: bool,
+    /// The list shows the server as draining or no longer names it.
+    unavailable: bool,
 }
 
-/// What is written on a watch at once, and what the node knows by it.
+/// An event of a watch.
 struct WatchEvent {
     json: serde_json::Value,
-    servers: Vec<ServerOut>,
+    /// Availability of the servers that the event reports.
+    servers: Vec<ServerAvailability>,
 }
 
 /// An open watch.
 struct Watch {
     connection: Connection,
-    /// Bytes written so far.
+    /// Number of bytes written to the connection so far.
     written: u64,
 }
 
 impl Watch {
-    /// Writes a line as a chunk.
+    /// Writes a line as one HTTP chunk.
     async fn write_line(&mut self, text: &str) -> io::Result<()> {
         let chunk = format!("{:x}\r\n{text}\n\r\n", text.len() + 1);
         self.connection.stream.write_all(chunk.as_bytes()).await?;
@@ -66,7 +71,7 @@
         Ok(())
     }
 
-    /// Whether the node has closed the connection: it says nothing otherwise.
+    /// Whether the node has closed the connection; it sends nothing after its request.
     async fn is_closed(&mut self) -> bool {
         let mut byte = [0; 1];
         let read = timeout(Duration::ZERO, self.connection.stream.read(&mut byte)).await;
@@ -128,7 +133,8 @@
         let mut sent = self.due_changes().count;
         let first = self.first_event(index, sent);
         self.send(&mut watch, first).await?;
-        // Guards against late changes that each postpone the next heartbeat.
+        // The heartbeat is timed from the last write: changes that are not due yet wake the loop,
+        // but do not postpone it.
         let mut last_write = Instant::now();
         loop {
             let changed = self.stubs.changed.notified();
@@ -142,7 +148,7 @@
             }
             let heartbeat = last_write + HEARTBEAT_INTERVAL;
             let wake = match due.until_next {
-                Some(span) => heartbeat.min(Instant::now() + at_least_min_wait(span)),
+                Some(span) => heartbeat.min(Instant::now() + at_least_min_delay(span)),
                 None => heartbeat,
             };
             tokio::select! {
@@ -159,7 +165,7 @@
         }
     }
 
-    /// Writes an event. The node counts as notified once its bytes have reached it.
+    /// Writes an event. The node counts as notified once all bytes of the event have reached it.
     async fn send(
         self: &Rc<DiscoveryStub>,
         watch: &mut Watch,
@@ -172,14 +178,19 @@
         spawn_local(async move {
             delivered.wait_for(written).await;
             let monitor = &discovery.stubs.monitor;
-            for ServerOut { server, out } in event.servers {
-                monitor.record_endpoint_state(discovery.node, server, out);
+            for ServerAvailability {
+                server,
+                unavailable,
+            } in event.servers
+            {
+                monitor.record_endpoint_state(discovery.node, server, unavailable);
             }
         });
         Ok(())
     }
 
-    /// The changes since the index that the node knows, or else the whole list.
+    /// Returns the changes since the index that the node has requested, or the full list if the
+    /// index is out of range.
     fn first_event(&self, index: usize, change_count: usize) -> WatchEvent {
         match (1..=change_count + 1).contains(&index) {
             true => self.changes_event(index - 1, change_count),
@@ -187,7 +198,7 @@
         }
     }
 
-    /// The whole list as it was after so many changes.
+    /// Returns the full list as of the first `change_count` changes.
     fn full_list_event(&self, change_count: usize) -> WatchEvent {
         let json = self
             .stubs
@@ -198,9 +209,9 @@
                 .iter()
                 .rev()
                 .find(|change| change.server == server);
-            ServerOut {
+            ServerAvailability {
                 server,
-                out: last.is_some_and(|last| last.state != ListedState::InService),
+                unavailable: last.is_some_and(|last| last.state != ListedState::InService),
             }
         });
         WatchEvent {
@@ -209,7 +220,7 @@
         }
     }
 
-    /// The changes from one place to another.
+    /// Returns the changes in the index range `from..to`.
     fn changes_event(&self, from: usize, to: usize) -> WatchEvent {
         let changes = &self.stubs.changes.borrow()[from..to];
         let entry = |change: &Change| {
@@ -221,9 +232,9 @@
             )
         };
         let entries: Vec<_> = changes.iter().map(entry).collect();
-        let servers = changes.iter().map(|change| ServerOut {
+        let servers = changes.iter().map(|change| ServerAvailability {
             server: change.server,
-            out: change.state != ListedState::InService,
+            unavailable: change.state != ListedState::InService,
         });
         WatchEvent {
             json: serde_json::json!({"version": to + 1, "full": false, "servers": entries}),
@@ -232,15 +243,15 @@
     }
 }
 
-fn at_least_min_wait(span: Span) -> Duration {
-    Duration::from_micros(span.0.max(MIN_WAIT_US) as u64)
+fn at_least_min_delay(span: Span) -> Duration {
+    Duration::from_micros(span.0.max(MIN_DELAY_US) as u64)
 }
 
-/// The head of a request; none if it is too long or the connection ends.
+/// Reads the head of a request; returns `None` if it is too long or the connection ends.
 async fn read_head(connection: &mut Connection) -> Option<String> {
     let mut head = Vec::new();
     while !head.windows(4).any(|four| four == b"\r\n\r\n") {
-        if head.len() > MAX_HEAD {
+        if head.len() > MAX_HEAD_BYTES {
             return None;
         }
         let read = connection.stream.read_buf(&mut head).await;
--- a/crates/lab/src/fleet/in_flight.rs
+++ b/crates/lab/src/fleet/in_flight.rs
@@ -1,20 +1,22 @@
-//! Bytes of a connection that are under way on a link, in their order.
+//! The bytes of a connection that are in flight on a link, in order.
 use std::collections::VecDeque;
 use std::io;
 
 use tokio::io::{AsyncWrite, AsyncWriteExt};
 use tokio::time::Instant;
 
-/// Bytes under way on a connection; more are not taken from the sender.
+/// Number of bytes in flight in one direction of a connection at which no more are read from the
+/// sender.
 const MAX_IN_FLIGHT: usize = 256 * 1024;
 
-/// Bytes that arrive at once.
+/// Bytes that arrive at the same time.
 struct Segment {
     arrival: Instant,
     bytes: Vec<u8>,
 }
 
-/// Bytes under way to one end of a connection. `on_written` is called with the number of all bytes so far as they are handed on.
+/// The bytes in flight to one end of a connection. After each write to that end, `on_written` is
+/// called with the total number of bytes written so far.
 pub(super) struct InFlight<W, F> {
     to: W,
     on_written: F,
@@ -42,12 +44,12 @@
         self.queued_bytes >= MAX_IN_FLIGHT
     }
 
-    /// When the next bytes arrive.
+    /// Returns the arrival time of the next bytes, if any are in flight.
     pub(super) fn next_arrival(&self) -> Option<Instant> {
         self.segments.front().map(|first| first.arrival)
     }
 
-    /// Bytes set out; they do not overtake those sent earlier.
+    /// Adds bytes in flight. They arrive no earlier than the bytes added before.
     pub(super) fn push(&mut self, bytes: &[u8], arrival: Instant) {
         let arrival = match self.segments.back() {
             Some(previous) => previous.arrival.max(arrival),
@@ -60,7 +62,7 @@
         });
     }
 
-    /// Hands on the bytes that arrive next.
+    /// Writes the bytes that arrive next to the receiving end.
     pub(super) async fn deliver_next(&mut self) -> io::Result<()> {
         let Some(Segment { bytes, .. }) = self.segments.pop_front() else {
             return Ok(());
@@ -69,7 +71,7 @@
         self.write(&bytes).await
     }
 
-    /// Hands on bytes at once.
+    /// Writes bytes to the receiving end at once.
     pub(super) async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.to.write_all(bytes).await?;
         self.total_written += bytes.len() as u64;
@@ -77,7 +79,7 @@
         Ok(())
     }
 
-    /// Ends the connection in this direction.
+    /// Closes the connection in this direction.
     pub(super) async fn shut_down(&mut self) -> io::Result<()> {
         self.to.shutdown().await
     }
--- a/crates/lab/src/fleet/link.rs
+++ b/crates/lab/src/fleet/link.rs
@@ -1,4 +1,5 @@
-//! One direction of a network link between two endpoints: its present impairments, and what they do to bytes and datagrams.
+//! One direction of a network link between two endpoints: its current impairment, and the effect
+//! on connections and datagrams.
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::rc::Rc;
@@ -13,39 +14,40 @@
 use super::in_flight::InFlight;
 use super::plan::{Fault, FaultKind};
 
-/// A lost piece of a connection arrives after a retransmission.
+/// Added delay of lost bytes of a connection, which arrive after a retransmission.
 const RETRANSMISSION_DELAY: Duration = Duration::from_millis(200);
-/// Delay of a datagram that is overtaken.
+/// Added delay of a datagram that later ones overtake.
 const REORDER_DELAY: Duration = Duration::from_millis(20);
-/// How long a datagram waits at most where the bandwidth is small: then the queue is full.
+/// Longest queueing delay on a link of limited bandwidth; beyond it the queue is full, and
+/// datagrams are dropped.
 const MAX_QUEUE_DELAY: Duration = Duration::from_millis(500);
-/// Bound on the random delay, in multiples of its mean.
+/// Upper bound on the random delay, as a multiple of its mean.
 const MAX_JITTER_FACTOR: f64 = 20.0;
-/// Bytes that are read from a connection at once.
+/// Most bytes read from a connection at once.
 const READ_SIZE: usize = 16 * 1024;
 
-/// What is wrong with a link now.
+/// The impairment of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Impairment {
-    /// Nothing passes.
+    /// The link carries nothing.
     pub partitioned: bool,
-    /// Probability that a datagram is lost, or a piece of a connection retransmitted.
+    /// Probability that a datagram is lost, or that bytes of a connection are retransmitted.
     pub loss: f64,
-    /// Delay that is added.
+    /// Added delay.
     pub delay: Duration,
-    /// Mean of an exponential delay that is added.
+    /// Mean of the added, exponentially distributed delay.
     pub jitter: Duration,
     /// Probability that a datagram arrives twice.
     pub duplicate: f64,
-    /// Probability that a datagram is overtaken.
+    /// Probability that a datagram is overtaken by later ones.
     pub reorder: f64,
-    /// Bandwidth, in bytes a second.
+    /// Bandwidth, in bytes per second; `None` if unlimited.
     pub bytes_per_s: Option<f64>,
 }
 
 impl Impairment {
-    /// What a fault does to its links.
-    pub fn of(fault: &Fault) -> Impairment {
+    /// Returns the impairment that a fault causes on its links.
+    pub fn from_fault(fault: &Fault) -> Impairment {
         let from_ms = |ms: f64| Duration::from_secs_f64(ms / 1000.0);
         Impairment {
             partitioned: fault.kind == FaultKind::Partition,
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Both at once.
+    /// Returns the joint effect of two independent impairments.
     fn combined_with(self, other: Impairment) -> Impairment {
         let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
         let bytes_per_s = [self.bytes_per_s, other.bytes_per_s]
@@ -77,7 +79,7 @@
     }
 }
 
-/// An impairment, and the fault that it is of by its place in the plan.
+/// A fault that currently affects a link, by its index in the plan, with its impairment.
 struct ActiveFault {
     fault_index: usize,
     impairment: Impairment,
@@ -86,20 +88,20 @@
 /// One direction of a link; several faults may affect it at once.
 pub struct Link {
     active_faults: RefCell<Vec<ActiveFault>>,
-    /// All active faults' impairments at once.
+    /// Joint impairment of all active faults.
     impairment: Cell<Impairment>,
     impairment_changed: Notify,
     rng: RefCell<Pcg>,
-    /// When the last byte that was handed in has left a link of small bandwidth.
+    /// Time at which the last byte sent so far leaves a link of limited bandwidth.
     busy_until: Cell<Instant>,
-    /// Datagrams that were handed in.
-    pub datagrams: Cell<u64>,
-    /// Datagrams that came through.
-    pub arrived: Cell<u64>,
+    /// Number of datagrams sent on the link.
+    pub datagrams_sent: Cell<u64>,
+    /// Number of datagrams that arrived.
+    pub datagrams_arrived: Cell<u64>,
 }
 
 impl Link {
-    /// A link with nothing wrong.
+    /// Creates a link without impairments.
     pub fn new(seed: u64) -> Rc<Link> {
         Rc::new(Link {
             active_faults: RefCell::default(),
@@ -107,18 +109,18 @@
             impairment_changed: Notify::new(),
             rng: RefCell::new(Pcg::new(seed)),
             busy_until: Cell::new(Instant::now()),
-            datagrams: Cell::new(0),
-            arrived: Cell::new(0),
+            datagrams_sent: Cell::new(0),
+            datagrams_arrived: Cell::new(0),
         })
     }
 
-    /// What is wrong with the link now.
+    /// Returns the current impairment of the link.
     pub fn impairment(&self) -> Impairment {
         self.impairment.get()
     }
 
-    /// A fault begins to affect the link.
-    pub fn begin(&self, fault_index: usize, impairment: Impairment) {
+    /// Adds a fault that affects the link from now on.
+    pub fn add_fault(&self, fault_index: usize, impairment: Impairment) {
         self.active_faults.borrow_mut().push(ActiveFault {
             fault_index,
             impairment,
@@ -126,8 +128,8 @@
         self.update_impairment();
     }
 
-    /// A fault no longer affects the link.
-    pub fn end(&self, fault_index: usize) {
+    /// Removes a fault, which no longer affects the link.
+    pub fn remove_fault(&self, fault_index: usize) {
         self.active_faults
             .borrow_mut()
             .retain(|active| active.fault_index != fault_index);
@@ -150,7 +152,7 @@
         probability > 0.0 && self.rng.borrow_mut().unit() < probability
     }
 
-    /// When something of this size arrives that is sent now, but for losses and partitions.
+    /// Returns when `size` bytes sent now arrive, if there is no loss and no partition.
     fn arrival(&self, size: usize) -> Instant {
         let impairment = self.impairment();
         let now = Instant::now();
@@ -170,9 +172,9 @@
         departure + impairment.delay + jitter
     }
 
-    /// When a datagram arrives: never, once or twice.
+    /// Counts a datagram sent now, and returns the times at which it arrives: none, one or two.
     pub fn datagram_arrivals(&self, size: usize) -> [Option<Instant>; 2] {
-        self.datagrams.set(self.datagrams.get() + 1);
+        self.datagrams_sent.set(self.datagrams_sent.get() + 1);
         let impairment = self.impairment();
         if impairment.partitioned || self.happens(impairment.loss) {
             return [None, None];
@@ -195,8 +197,9 @@
         [Some(first), second]
     }
 
-    /// Carries a connection's bytes in their order until it ends. `on_read` is called with the number of all bytes so far as they
-    /// are taken, `on_written` as they are handed on. While the link is partitioned nothing arrives, and no end of it either.
+    /// Carries the bytes of a connection, in order, until the sender closes it. `on_read` is called
+    /// with the total number of bytes read so far after each read, and `on_written` with the total
+    /// written after each write. During a partition neither bytes nor the close arrive.
     pub async fn carry(
         &self,
         mut from: impl AsyncRead + Unpin,
@@ -238,7 +241,7 @@
         }
     }
 
-    /// When bytes of a connection arrive: after a retransmission if they are lost.
+    /// Returns when bytes of a connection arrive; lost bytes arrive after a retransmission.
     fn retransmitted_arrival(&self, size: usize, loss: f64) -> Instant {
         let lost = self.happens(loss);
         let arrival = self.arrival(size);
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -1,6 +1,7 @@
-//! The fleet rig: several processes of the built program on loopback, with stub servers for caches, origin and discovery,
-//! relays on every link between them, faults on a schedule, clients, and the rules judged by what servers really began and
-//! clients really got.
+//! The fleet rig: runs several node processes on loopback against stub caches, a stub origin and
+//! stub discovery, under load from clients. Every link goes through a proxy or relay that injects
+//! network faults on a schedule. The rules are checked against the attempts that the servers
+//! executed and the responses that the clients received.
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
 
@@ -32,20 +33,20 @@
 pub use process::Programs;
 use rig::Rig;
 
-/// Plays a plan; logs and configurations stay in the folder if one is given.
+/// Plays a plan. Logs and configurations are kept in the folder `out`, if one is given.
 pub fn play(plan: &Plan, programs: &Programs, out: Option<&Path>) -> Result<Outcome, LabError> {
-    check_built(programs)?;
+    check_programs_exist(programs)?;
     let block = AddressBlock::claim(plan.block.as_deref())?;
-    check_free(plan, &block)?;
+    check_addresses_free(plan, &block)?;
     let folder = match out {
         Some(out) => out.to_owned(),
         None => temporary_folder(&block),
     };
-    std::fs::create_dir_all(&folder).map_err(in_io(&folder.display().to_string()))?;
+    std::fs::create_dir_all(&folder).map_err(io_error(&folder.display().to_string()))?;
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(in_io("the rig"))?;
+        .map_err(io_error("runtime of the rig"))?;
     let outcome = LocalSet::new().block_on(&runtime, Rig::play(plan, programs, &block, &folder));
     if out.is_none() {
         let _ = std::fs::remove_dir_all(&folder);
@@ -53,7 +54,7 @@
     outcome
 }
 
-fn check_built(programs: &Programs) -> Result<(), LabError> {
+fn check_programs_exist(programs: &Programs) -> Result<(), LabError> {
     match [&programs.node, &programs.lab]
         .into_iter()
         .find(|program| !program.is_file())
@@ -63,11 +64,11 @@
     }
 }
 
-/// Each address that a process is to listen on can be had.
-fn check_free(plan: &Plan, block: &AddressBlock) -> Result<(), LabError> {
+/// Checks that each address on which a node will listen for TCP connections is free.
+fn check_addresses_free(plan: &Plan, block: &AddressBlock) -> Result<(), LabError> {
     for node in 0..plan.scenario.nodes {
         for addr in [block.clients(node), block.admin(node)] {
-            TcpListener::bind(addr).map_err(in_io(&addr.to_string()))?;
+            TcpListener::bind(addr).map_err(io_error(&addr.to_string()))?;
         }
     }
     Ok(())
@@ -81,8 +82,8 @@
     ))
 }
 
-/// Names what an input or output error is of.
-fn in_io(subject: &str) -> impl FnOnce(std::io::Error) -> LabError {
+/// Returns a conversion of I/O errors that puts the file or address concerned first.
+fn io_error(subject: &str) -> impl FnOnce(std::io::Error) -> LabError {
     let subject = subject.to_owned();
     move |e| LabError(format!("{subject}: {e}"))
 }
--- a/crates/lab/src/fleet/operators.rs
+++ b/crates/lab/src/fleet/operators.rs
@@ -1,4 +1,4 @@
-//! A client of a node's operator interface: one HTTP request a connection.
+//! A client of the nodes' operator API; it opens one connection per HTTP request.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -9,60 +9,60 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest answer that is read, in bytes.
-const MAX_BODY: usize = 1 << 24;
-/// A node that has not answered by then is taken not to.
-const REPLY_TIMEOUT: Duration = Duration::from_secs(30);
-/// HTTP status of a request that was carried out.
+/// Longest response body that is accepted, in bytes.
+const MAX_BODY_BYTES: usize = 1 << 24;
+/// Time within which a node has to respond to a request.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
+/// HTTP status of a successful request.
 const STATUS_OK: u16 = 200;
 
-/// A node's answer to an operator's request.
-pub struct Reply {
+/// A node's response to an operator's request.
+pub struct Response {
     status: u16,
     body: Vec<u8>,
 }
 
-impl Reply {
-    /// Whether the node did what it was asked.
+impl Response {
+    /// Whether the request succeeded.
     pub fn is_ok(&self) -> bool {
         self.status == STATUS_OK
     }
 
-    /// The body as JSON, if it is that.
+    /// Returns the body as JSON, or `None` if it is not valid JSON.
     pub fn json(&self) -> Option<serde_json::Value> {
         serde_json::from_slice(&self.body).ok()
     }
 }
 
-/// The reply as a line of the log.
-pub fn describe(reply: &Option<Reply>) -> String {
-    match reply {
-        Some(reply) => format!(
+/// Describes a response for the event log.
+pub fn describe(response: &Option<Response>) -> String {
+    match response {
+        Some(response) => format!(
             "{} {}",
-            reply.status,
-            String::from_utf8_lossy(&reply.body).trim()
+            response.status,
+            String::from_utf8_lossy(&response.body).trim()
         ),
-        None => "no answer".to_owned(),
+        None => "no response".to_owned(),
     }
 }
 
-/// Reads from a node; none if it does not answer.
-pub async fn get(addr: SocketAddr, path: &str) -> Option<Reply> {
-    timeout(REPLY_TIMEOUT, request(addr, "GET", path, ""))
+/// Sends a GET request to a node; returns `None` without a valid response in time.
+pub async fn get(addr: SocketAddr, path: &str) -> Option<Response> {
+    timeout(RESPONSE_TIMEOUT, request(addr, "GET", path, ""))
         .await
         .ok()
         .flatten()
 }
 
-/// Posts to a node; none if it does not answer.
-pub async fn post(addr: SocketAddr, path: &str, body: &str) -> Option<Reply> {
-    timeout(REPLY_TIMEOUT, request(addr, "POST", path, body))
+/// Sends a POST request to a node; returns `None` without a valid response in time.
+pub async fn post(addr: SocketAddr, path: &str, body: &str) -> Option<Response> {
+    timeout(RESPONSE_TIMEOUT, request(addr, "POST", path, body))
         .await
         .ok()
         .flatten()
 }
 
-async fn request(addr: SocketAddr, method: &str, path: &str, body: &str) -> Option<Reply> {
+async fn request(addr: SocketAddr, method: &str, path: &str, body: &str) -> Option<Response> {
     let mut stream = TcpStream::connect(addr).await.ok()?;
     let length = body.len();
     let request = format!(
@@ -71,8 +71,8 @@
     stream.write_all(request.as_bytes()).await.ok()?;
     let mut bytes = Vec::new();
     stream.read_to_end(&mut bytes).await.ok()?;
-    match http::parse_response(&bytes, MAX_BODY, true, &Limits::default()) {
-        Parsed::Complete((head, body), _) => Some(Reply {
+    match http::parse_response(&bytes, MAX_BODY_BYTES, true, &Limits::default()) {
+        Parsed::Complete((head, body), _) => Some(Response {
             status: head.status,
             body,
         }),
--- a/crates/lab/src/fleet/outcome.rs
+++ b/crates/lab/src/fleet/outcome.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 
 use super::event_log::{self, Event};
-use super::in_io;
+use super::io_error;
 use super::plan::Plan;
 use super::timeline::{self, FaultPeriod};
 use crate::rules::Violation;
@@ -282,5 +282,5 @@
 }
 
 fn write(file: &Path, text: &str) -> Result<(), LabError> {
-    std::fs::write(file, text).map_err(in_io(&file.display().to_string()))
+    std::fs::write(file, text).map_err(io_error(&file.display().to_string()))
 }
--- a/crates/lab/src/fleet/plan/checks.rs
+++ b/crates/lab/src/fleet/plan/checks.rs
@@ -1,35 +1,36 @@
-//! Checks of a plan's figures, and of what its faults affect. Messages name the key.
+//! Validation of a plan: the ranges of its numbers, and the targets of its faults. Error messages
+//! name the key.
 use super::{Fault, FaultKind, Plan};
 use crate::scenario::LabError;
 use crate::stub::StubServers;
 
-/// Most nodes that one machine bears and a block of addresses holds.
+/// Most nodes that one machine can run and that a block of addresses can hold.
 pub const MAX_NODES: usize = 96;
-/// Most caches.
+/// Most caches of a plan.
 const MAX_CACHES: usize = 64;
 /// Longest run, and longest fault, in seconds.
 const MAX_SECONDS: f64 = 600.0;
-/// Most API calls a second.
+/// Highest rate of API calls, per second.
 const MAX_CALLS_PER_S: f64 = 5_000.0;
-/// Most datagrams of a flood a second.
+/// Highest rate of a flood to one node, in datagrams per second.
 const MAX_DATAGRAMS_PER_S: f64 = 20_000.0;
-/// Least bandwidth of a link, in bytes a second.
+/// Lowest bandwidth of a link, in bytes per second.
 const MIN_BYTES_PER_S: f64 = 1_000.0;
-/// Longest delay of a link or of the front, in milliseconds.
+/// Longest delay that a link adds, and longest delay until the front is notified, in milliseconds.
 const MAX_DELAY_MS: f64 = 60_000.0;
-/// Greatest probability that a link loses something: with more nothing is ever carried.
+/// Highest probability of loss on a link; above it, the link would carry next to nothing.
 const MAX_LOSS: f64 = 0.99;
-/// Greatest bandwidth of a link, in bytes a second.
+/// Highest bandwidth of a link, in bytes per second.
 const MAX_BYTES_PER_S: f64 = 1e12;
 /// Shortest fault, in seconds.
 const MIN_DURATION_S: f64 = 0.01;
 
 impl Plan {
     pub(super) fn check(&self) -> Result<(), LabError> {
-        self.check_figures()?;
+        self.check_ranges()?;
         if self.scenario.policy != "dema" {
             return Err(LabError(
-                "scenario.policy: real nodes are played, which go by dema".to_owned(),
+                "scenario.policy: real nodes run the dema policy only".to_owned(),
             ));
         }
         StubServers::playable(&self.scenario, true)?;
@@ -37,14 +38,14 @@
             self.check_node("absent", *node)?;
         }
         for (fault_index, fault) in self.faults.iter().enumerate() {
-            self.check_fault_figures(fault_index, fault)?;
+            self.check_fault_ranges(fault_index, fault)?;
             self.check_fault_targets(fault_index, fault)?;
             self.check_fault_endpoints(fault_index, fault)?;
         }
         Ok(())
     }
 
-    fn check_figures(&self) -> Result<(), LabError> {
+    fn check_ranges(&self) -> Result<(), LabError> {
         let scenario = &self.scenario;
         let nodes = scenario.nodes as f64;
         let caches = scenario.caches.count as f64;
@@ -64,7 +65,7 @@
         }
     }
 
-    fn check_fault_figures(&self, fault_index: usize, fault: &Fault) -> Result<(), LabError> {
+    fn check_fault_ranges(&self, fault_index: usize, fault: &Fault) -> Result<(), LabError> {
         let key = |field: &str| format!("fault[{fault_index}].{field}");
         within(&key("at"), fault.start_s, 0.0, self.scenario.seconds)?;
         if let Some(duration_s) = fault.duration_s {
@@ -90,34 +91,34 @@
         }
     }
 
-    /// What the fault's kind needs is given.
+    /// Checks that the targets and the duration that the kind of the fault needs are given.
     fn check_fault_targets(&self, fault_index: usize, fault: &Fault) -> Result<(), LabError> {
-        let bad = |field: &str, problem: &str| {
+        let problem_at = |field: &str, problem: &str| {
             Err(LabError(format!("fault[{fault_index}].{field}: {problem}")))
         };
         let affects_links = matches!(fault.kind, FaultKind::Partition | FaultKind::Impair);
         let both_ends = !fault.from.is_empty() && !fault.to.is_empty();
         if affects_links && !both_ends {
-            return bad("from", "from and to are needed");
+            return problem_at("from", "from and to are needed");
         }
         if !affects_links && self.target_nodes(fault_index).is_empty() {
-            return bad("nodes", "nodes or a share of them are needed");
+            return problem_at("nodes", "nodes or share is needed");
         }
-        if fault.kind == FaultKind::DrainOverride && !self.are_caches(&fault.to) {
-            return bad("to", "the caches that are drained are needed");
+        if fault.kind == FaultKind::DrainOverride && !self.all_are_caches(&fault.to) {
+            return problem_at("to", "the caches to drain are needed");
         }
         let needs_duration = matches!(
             fault.kind,
             FaultKind::Pause | FaultKind::RollingRestart | FaultKind::Replay | FaultKind::Flood
         );
         if needs_duration && fault.duration_s.is_none() {
-            return bad("for", "is needed");
+            return problem_at("for", "is needed");
         }
         Ok(())
     }
 
-    /// Whether there are names, and all of them stand for caches.
-    fn are_caches(&self, names: &[String]) -> bool {
+    /// Whether there is at least one name, and every name refers to caches only.
+    fn all_are_caches(&self, names: &[String]) -> bool {
         !names.is_empty()
             && names.iter().all(|name| {
                 self.endpoints_named(name).is_some_and(|endpoints| {
@@ -126,13 +127,13 @@
             })
     }
 
-    /// What the fault's names stand for is there.
+    /// Checks that every endpoint that the fault names exists.
     fn check_fault_endpoints(&self, fault_index: usize, fault: &Fault) -> Result<(), LabError> {
         for (field, names) in [("from", &fault.from), ("to", &fault.to)] {
             for name in names {
                 if self.endpoints_named(name).is_none() {
                     return Err(LabError(format!(
-                        "fault[{fault_index}].{field}: {name:?} is no end of a link"
+                        "fault[{fault_index}].{field}: {name:?} is not an endpoint"
                     )));
                 }
             }
--- a/crates/lab/src/fleet/plan/mod.rs
+++ b/crates/lab/src/fleet/plan/mod.rs
@@ -1,5 +1,5 @@
-//! What is to be played with several processes, as a file says it: a scenario of the laboratory's, and the faults of processes
-//! and of the links between them. The types of its keys.
+//! The plan of a fleet run, as read from a file: a scenario, the faults of processes and of the
+//! links between them, and the expectations. This module defines the types of its keys.
 mod checks;
 mod parse;
 mod targets;
@@ -12,66 +12,70 @@
 
 pub use checks::MAX_NODES;
 
-/// A plan of the fleet rig, read and checked.
+/// A parsed and checked plan of the fleet rig.
 #[derive(Debug, Clone, Serialize)]
 pub struct Plan {
-    /// What it is called in drawings.
+    /// Title of the timeline plot.
     pub title: String,
     /// Traffic, servers and the servers' faults.
     pub scenario: Scenario,
-    /// Delay until the front hears that a process is up or gone, in milliseconds.
+    /// Delay until the front (the load balancer before the nodes) is notified that a process
+    /// serves or has exited, in milliseconds.
     pub front_late_ms: f64,
-    /// Nodes that are configured everywhere and start only when a fault says so.
+    /// Nodes that every configuration names, but that only a `start` fault starts.
     pub absent: Vec<usize>,
-    /// Laid over the settings that every node is given.
+    /// Merged over the settings of every node.
     pub settings: serde_json::Value,
-    /// Laid over the rest of every node's configuration.
+    /// Merged over the rest of every node's configuration.
     pub config: serde_json::Value,
-    /// The block of loopback addresses, such as "127.90.0"; any free one without it.
+    /// Block of loopback addresses, such as "127.90.0"; without it, any free block is used.
     pub block: Option<String>,
     /// Faults of processes and links.
     pub faults: Vec<Fault>,
-    /// Expectations on the outcome.
+    /// Expectations of the outcome.
     pub expect: Expect,
 }
 
-/// The kinds of faults, by their names in a plan's file.
+/// The kinds of faults, with their names in a plan file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FaultKind {
-    /// Processes are killed, and start again after `for`, if that is given.
+    /// Kills processes, and starts them again after `for`, if that is given.
     #[serde(rename = "kill")]
     Kill,
-    /// Processes shut down gracefully, and start again `for` after their end.
+    /// Shuts processes down gracefully, and starts them again `for` after they have exited, if
+    /// that is given.
     #[serde(rename = "end")]
     Terminate,
-    /// Processes are stopped and continued.
+    /// Suspends processes, and resumes them after `for`.
     #[serde(rename = "pause")]
     Pause,
-    /// Operators drain the caches in `to`, at these nodes; and restore them after `for`, if that is given.
+    /// Drains the caches in `to` through the operator API of these nodes, and restores them after
+    /// `for`, if that is given.
     #[serde(rename = "order")]
     DrainOverride,
-    /// Absent nodes start.
+    /// Starts absent nodes.
     #[serde(rename = "start")]
     Start,
-    /// Processes shut down gracefully, one after the other over `for`, and start again at once.
+    /// Shuts processes down gracefully, one after the other over `for`, and starts each again as
+    /// soon as it has exited.
     #[serde(rename = "roll")]
     RollingRestart,
-    /// Nothing passes on the links named.
+    /// Stops all traffic on the given links.
     #[serde(rename = "cut")]
     Partition,
-    /// The links named lose, delay, duplicate, reorder or throttle.
+    /// Makes the given links lose, delay, duplicate, reorder or throttle traffic.
     #[serde(rename = "spoil")]
     Impair,
-    /// What these nodes last sent to others is delivered once more, every tenth of a second.
+    /// Delivers the latest datagrams of these nodes to their receivers again, every 100 ms.
     #[serde(rename = "replay")]
     Replay,
-    /// These nodes get malformed, forged and repeated datagrams, `rate` a second each.
+    /// Sends each of these nodes `rate` malformed, forged and repeated datagrams a second.
     #[serde(rename = "flood")]
     Flood,
 }
 
 impl FaultKind {
-    /// Its name in a plan's file.
+    /// Returns the name of the kind in a plan file.
     pub fn key(self) -> &'static str {
         match self {
             FaultKind::Kill => "kill",
@@ -88,71 +92,74 @@
     }
 }
 
-/// One fault of the schedule; only what its kind needs is read.
+/// One fault of the schedule. Fields that its kind does not use are ignored.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What kind of fault it is.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// When it begins, in seconds from the beginning.
+    /// Start of the fault, in seconds from the start of the run.
     #[serde(rename = "at")]
     pub start_s: f64,
-    /// How long it lasts, in seconds.
+    /// Duration, in seconds; without it, the fault lasts until the end of the run.
     #[serde(rename = "for", default)]
     pub duration_s: Option<f64>,
-    /// The nodes' numbers.
+    /// Indices of the affected nodes.
     #[serde(default)]
     pub nodes: Vec<usize>,
-    /// Where no nodes are named, a share of all of them, drawn from the seed.
+    /// Fraction of all nodes that is affected, drawn from the seed; used if `nodes` is empty.
     #[serde(default)]
     pub share: Option<f64>,
-    /// Where links begin: "nodes", "node-3", "caches", "cache-2", "origin", "discovery".
+    /// Sending ends of the links: "nodes", "node-3", "caches", "cache-2", "origin", "discovery".
     #[serde(default)]
     pub from: Vec<String>,
-    /// Where links end, or the caches that are drained.
+    /// Receiving ends of the links, or the caches to drain.
     #[serde(default)]
     pub to: Vec<String>,
-    /// The other direction too.
+    /// Affects the opposite direction of the links too.
     #[serde(rename = "both", default)]
     pub both_directions: bool,
-    /// A partition resets connections and refuses new ones; without it nothing is heard.
+    /// A partition resets connections and refuses new ones; without this, it drops all packets
+    /// silently.
     #[serde(default)]
     pub reset: bool,
-    /// Probability that a datagram is lost, or a piece of a connection retransmitted.
+    /// Probability that a datagram is lost, or that bytes of a connection are retransmitted.
     #[serde(default)]
     pub loss: f64,
-    /// Delay that is added, in milliseconds.
+    /// Added delay, in milliseconds.
     #[serde(default)]
     pub delay_ms: f64,
-    /// Mean of a random delay that is added, in milliseconds.
+    /// Mean of the added random delay, in milliseconds.
     #[serde(default)]
     pub jitter_ms: f64,
     /// Probability that a datagram arrives twice.
     #[serde(default)]
     pub duplicate: f64,
-    /// Probability that a datagram is overtaken.
+    /// Probability that a datagram is overtaken by later ones.
     #[serde(default)]
     pub reorder: f64,
-    /// Bandwidth, in bytes a second.
+    /// Bandwidth, in bytes per second; without it, unlimited.
     #[serde(default)]
     pub bytes_per_s: Option<f64>,
-    /// Datagrams of a flood, a second and node.
+    /// Datagrams that a flood sends to each node, per second.
     #[serde(rename = "rate", default)]
     pub datagrams_per_s: f64,
 }
 
-/// Expectations at the end. Generous: times are measured and reported, not judged.
+/// Expectations, checked at the end of a run. They are generous: durations are measured and
+/// reported, but not checked.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Expect {
-    /// Least share of the billed value that is served.
+    /// Least fraction of the billed value that is served.
     pub service: f64,
     /// Number of processes that serve at the end.
     #[serde(rename = "up")]
     pub nodes_up: Option<usize>,
-    /// At the end each process takes just those that run for members.
+    /// At the end, each process reports exactly the running nodes as members.
     pub members_agree: bool,
-    /// How often at most any process has taken another out of the members, or in again.
+    /// Most membership changes of one node that one process may log: each removal of the node and
+    /// each return counts.
     #[serde(rename = "flips")]
     pub max_membership_changes: Option<usize>,
 }
@@ -160,19 +167,19 @@
 /// One end of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Endpoint {
-    /// A node, by its number.
+    /// A node, by its index.
     Node(usize),
-    /// A cache, or the origin behind the last one.
+    /// A cache by its index, or the origin, whose index follows that of the last cache.
     Server(usize),
-    /// Discovery as the node has it.
+    /// The discovery agent of the node at the other end.
     Discovery,
 }
 
 /// One direction of a network link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LinkId {
-    /// Where bytes and datagrams are sent.
+    /// The sending end.
     pub from: Endpoint,
-    /// Where they arrive.
+    /// The receiving end.
     pub to: Endpoint,
 }
--- a/crates/lab/src/fleet/plan/parse.rs
+++ b/crates/lab/src/fleet/plan/parse.rs
@@ -1,10 +1,10 @@
-//! Reading a plan and giving it its defaults. Messages name the key.
+//! Parsing of a plan file, with defaults for missing keys. Error messages name the key.
 use serde::Deserialize;
 
 use super::{Expect, Fault, Plan};
 use crate::scenario::{one_line, LabError, Scenario};
 
-/// The keys of a plan's file.
+/// The keys of a plan file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct PlanFile {
@@ -31,11 +31,11 @@
     DEFAULT_FRONT_LATE_MS
 }
 
-/// Delay until the front hears of a process where the plan gives none, in milliseconds.
+/// Default of the plan's `front_late_ms`, in milliseconds.
 const DEFAULT_FRONT_LATE_MS: f64 = 1_000.0;
 
 impl Plan {
-    /// Reads and checks a plan; an error names the key.
+    /// Parses and checks a plan; errors name the key.
     pub fn parse(text: &str) -> Result<Plan, LabError> {
         let table: toml::Table = text
             .parse()
@@ -50,7 +50,7 @@
                 })
             })?;
         let scenario = Scenario::of(toml::Value::Table(file.scenario))
-            .map_err(|LabError(bad)| LabError(format!("scenario.{bad}")))?;
+            .map_err(|LabError(problem)| LabError(format!("scenario.{problem}")))?;
         let json =
             |table: toml::Table| serde_json::to_value(table).map_err(|e| LabError(e.to_string()));
         let plan = Plan {
--- a/crates/lab/src/fleet/plan/targets.rs
+++ b/crates/lab/src/fleet/plan/targets.rs
@@ -3,14 +3,14 @@
 
 use super::{Endpoint, LinkId, Plan};
 
-/// A node's random number, by which nodes are sorted to draw some of them.
+/// A node with a random number; sorting the nodes by it draws a random subset.
 struct DrawnNode {
     draw: f64,
     node: usize,
 }
 
 impl Plan {
-    /// The nodes that a fault affects.
+    /// Returns the nodes that a fault affects.
     pub fn target_nodes(&self, fault_index: usize) -> Vec<usize> {
         let fault = &self.faults[fault_index];
         let Some(share) = fault.share.filter(|_| fault.nodes.is_empty()) else {
@@ -38,7 +38,7 @@
         matches!(endpoint, Endpoint::Server(server) if *server < self.scenario.caches.count)
     }
 
-    /// The caches that operators drain.
+    /// Returns the caches that a fault of kind `DrainOverride` drains.
     pub fn drained_caches(&self, fault_index: usize) -> Vec<usize> {
         self.endpoints_of(&self.faults[fault_index].to)
             .into_iter()
@@ -49,7 +49,7 @@
             .collect()
     }
 
-    /// What a name of a plan's file stands for; none if it is unknown.
+    /// Returns the endpoints that a name in a plan file refers to, or `None` for an unknown name.
     pub(super) fn endpoints_named(&self, name: &str) -> Option<Vec<Endpoint>> {
         let nodes = self.scenario.nodes;
         let caches = self.scenario.caches.count;
@@ -76,7 +76,7 @@
             .collect()
     }
 
-    /// The links that a fault affects, each direction by itself.
+    /// Returns the links that a fault affects; each direction is a link of its own.
     pub fn affected_links(&self, fault_index: usize) -> Vec<LinkId> {
         let fault = &self.faults[fault_index];
         let to_endpoints = self.endpoints_of(&fault.to);
--- a/crates/lab/src/fleet/plan/tests.rs
+++ b/crates/lab/src/fleet/plan/tests.rs
@@ -2,7 +2,7 @@
 use expect_test::expect;
 
 #[test]
-fn bad_plans_are_named_in_one_line_before_anything_starts() {
+fn invalid_plan_is_rejected_in_one_line_that_names_the_key() {
     let texts = [
         "[[fault]]\nkind = \"kill\"\nat = 1.0\nnodes = [7]",
         "[[fault]]\nkind = \"kill\"\nat = 1.0",
@@ -17,16 +17,16 @@
         "absent = [9]",
         "fault = 3",
     ];
-    let said = texts.map(|text| match Plan::parse(text) {
-        Ok(_) => format!("{text:?}: taken\n"),
-        Err(bad) => format!("{bad}\n"),
+    let errors = texts.map(|text| match Plan::parse(text) {
+        Ok(_) => format!("{text:?}: accepted\n"),
+        Err(error) => format!("{error}\n"),
     });
     expect![[r#"
         fault[0].nodes: there is no node 7
-        fault[0].nodes: nodes or a share of them are needed
+        fault[0].nodes: nodes or share is needed
         fault[0].for: is needed
         fault[0].from: from and to are needed
-        fault[0].to: "cache-99" is no end of a link
+        fault[0].to: "cache-99" is not an endpoint
         fault[0].loss: 1.5 is not within 0 to 0.99
         fault[0].kind: unknown variant `cutt`, expected one of `kill`, `end`, `pause`, `order`, `start`, `roll`, `cut`, `spoil`, `replay`, `flood`
         scenario.nodes: 500 is not within 1 to 96
@@ -34,11 +34,11 @@
         scenario.fault[0].kind: stub servers can't play it; [[fault]] may
         absent: there is no node 9
         fault: invalid type: integer `3`, expected a sequence
-    "#]].assert_eq(&said.concat());
+    "#]].assert_eq(&errors.concat());
 }
 
 #[test]
-fn a_share_is_drawn_from_the_seed_and_ways_are_one_sided() {
+fn share_is_drawn_from_the_seed_and_links_are_one_way() {
     let text = "[scenario]\nnodes = 8\n[[fault]]\nkind = \"kill\"\nat = 1.0\nshare = 0.25\n[[fault]]\nkind = \"cut\"\nat = 1.0\n\
                 from = [\"node-1\", \"node-2\"]\nto = [\"node-2\", \"origin\"]";
     let plan = Plan::parse(text).expect("a plan");
--- a/crates/lab/src/fleet/process.rs
+++ b/crates/lab/src/fleet/process.rs
@@ -1,5 +1,6 @@
-//! The process of one node: starting it and the signals it is sent. Only processes started here are ever signalled, by the ids
-//! that starting them gave; if this process dies, they do.
+//! The process of one node: its start, its signals and its exit. The rig signals only processes
+//! that it started itself, by the ids returned at their start. If the rig dies, they are killed
+//! too.
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::path::PathBuf;
@@ -17,9 +18,9 @@
 use crate::clients::NodeEndpoint;
 use crate::rule_monitor::RuleMonitor;
 
-/// Delay until clients are sent elsewhere after a graceful shutdown began.
-const SHUTDOWN_ANNOUNCED: Duration = Duration::from_millis(300);
-/// Variables that would change what the configuration file says.
+/// Delay from the start of a graceful shutdown until the front stops sending clients to the node.
+const SHUTDOWN_NOTICE_DELAY: Duration = Duration::from_millis(300);
+/// Environment variables that would override the configuration file.
 const CLEARED_VARIABLES: [&str; 5] = [
     "LB_NAME",
     "LB_LISTEN",
@@ -28,14 +29,14 @@
     "LB_INHERITED_FD",
 ];
 
-/// What is started for a node, and what is put before it so that it ends with this process.
+/// The program to start as a node, and the program that makes it end together with the rig.
 #[derive(Debug, Clone)]
 pub struct Programs {
-    /// The node's program.
+    /// The node program.
     pub node: PathBuf,
-    /// Arguments of the node's program.
+    /// Arguments of the node program.
     pub args: Vec<String>,
-    /// The laboratory's program, whose `guard` starts the node's.
+    /// The laboratory's program, whose `guard` command starts the node program.
     pub lab: PathBuf,
 }
 
@@ -44,35 +45,35 @@
 pub enum ProcessState {
     /// There is no process.
     Down,
-    /// It has been started, and does not serve yet.
+    /// The process has been started, but does not serve yet.
     Starting,
-    /// It serves.
+    /// The process serves.
     Up,
-    /// It is stopped by a signal.
+    /// The process is suspended by SIGSTOP.
     Paused,
-    /// It has been killed or shuts down.
-    Ending,
+    /// The process was sent SIGKILL or SIGTERM and has not exited yet.
+    Stopping,
 }
 
-/// How a node is started, and how late the front hears of its process.
+/// How a node is started, and how late the front is notified of changes.
 #[derive(Debug, Clone)]
 pub struct ProcessSpec {
-    /// The node's number.
+    /// Index of the node.
     pub node: usize,
-    /// Its configuration file.
+    /// Configuration file of the node.
     pub config: PathBuf,
-    /// The file that its log is appended to.
+    /// File to which the node's log is appended.
     pub log: PathBuf,
-    /// The programs that are started.
+    /// The programs to start.
     pub programs: Programs,
-    /// Delay until the front hears that the process is up or gone.
+    /// Delay until the front is notified that the process serves or has exited.
     pub front_delay: Duration,
 }
 
-/// One node, whose process may be ended and started again.
+/// One node, whose process can be stopped and started again.
 pub struct NodeProcess {
     pub(super) spec: ProcessSpec,
-    /// The node's name in its configuration and in the event log.
+    /// Name of the node in its configuration and in the event log.
     pub name: String,
     pub(super) monitor: Rc<RuleMonitor>,
     event_log: Rc<EventLog>,
@@ -81,16 +82,16 @@
     state: Cell<ProcessState>,
     state_changed: Notify,
     pid: Cell<Option<Pid>>,
-    /// The end of the process is wanted.
-    end_expected: Cell<bool>,
+    /// The rig has sent the process a signal to end, so its exit breaks no rule.
+    exit_expected: Cell<bool>,
     /// Number of processes started so far.
-    starts: Cell<u64>,
-    /// The last line of its log.
-    pub(super) last_line: RefCell<String>,
+    start_count: Cell<u64>,
+    /// Last line of the node's log.
+    pub(super) last_log_line: RefCell<String>,
 }
 
 impl NodeProcess {
-    /// A node without a process.
+    /// Creates a node whose process is not started yet.
     pub fn new(
         spec: ProcessSpec,
         monitor: Rc<RuleMonitor>,
@@ -106,25 +107,25 @@
             state: Cell::new(ProcessState::Down),
             state_changed: Notify::new(),
             pid: Cell::new(None),
-            end_expected: Cell::new(false),
-            starts: Cell::new(0),
-            last_line: RefCell::default(),
+            exit_expected: Cell::new(false),
+            start_count: Cell::new(0),
+            last_log_line: RefCell::default(),
         })
     }
 
-    /// The node's number.
+    /// Returns the index of the node.
     pub fn node(&self) -> usize {
         self.spec.node
     }
 
-    /// The state of its process.
+    /// Returns the state of the process.
     pub fn state(&self) -> ProcessState {
         self.state.get()
     }
 
-    /// Number of processes started so far, which distinguishes one from the one before.
-    pub fn starts(&self) -> u64 {
-        self.starts.get()
+    /// Returns the number of processes started so far, which tells one process from the previous.
+    pub fn start_count(&self) -> u64 {
+        self.start_count.get()
     }
 
     pub(super) fn record(&self, message: impl Into<String>) {
@@ -136,7 +137,7 @@
         self.state_changed.notify_waiters();
     }
 
-    /// Waits until the state is one that is wanted.
+    /// Waits until `wanted` returns true for the state.
     pub async fn wait_for(&self, wanted: impl Fn(ProcessState) -> bool) {
         loop {
             let changed = self.state_changed.notified();
@@ -147,7 +148,8 @@
         }
     }
 
-    /// Starts the process, with nothing kept of the one before.
+    /// Starts a new process, which keeps no state of the previous one. Does nothing while there is
+    /// a process.
     pub fn start(self: &Rc<NodeProcess>) -> io::Result<()> {
         if self.state.get() != ProcessState::Down {
             return Ok(());
@@ -155,14 +157,14 @@
         let mut child = self.command().spawn()?;
         self.pid
             .set(child.id().and_then(|id| Pid::from_raw(id as i32)));
-        self.end_expected.set(false);
-        self.starts.set(self.starts.get() + 1);
+        self.exit_expected.set(false);
+        self.start_count.set(self.start_count.get() + 1);
         self.monitor.record_node_restart(self.spec.node);
         self.set_state(ProcessState::Starting);
         self.record(format!(
-            "process {} starts, its life {}",
+            "process {} started, start number {}",
             child.id().unwrap_or(0),
-            self.starts.get()
+            self.start_count.get()
         ));
         if let Some(log) = child.stderr.take() {
             spawn_local(self.clone().follow_log(log));
@@ -199,20 +201,21 @@
             .incarnation
             .set(self.endpoint.incarnation.get() + 1);
         let status = status.map_or_else(|e| e.to_string(), |status| status.to_string());
-        self.record(format!("process ended: {status}"));
-        if !self.end_expected.get() {
+        self.record(format!("process exited: {status}"));
+        if !self.exit_expected.get() {
             self.monitor.record_platform_violation(&format!(
-                "{} ended by itself, {status}; it said last: {}",
+                "{} exited by itself, {status}; last log line: {}",
                 self.name,
-                self.last_line.borrow()
+                self.last_log_line.borrow()
             ));
         }
         self.set_state(ProcessState::Down);
-        self.announce(false, self.spec.front_delay);
+        self.notify_front(false, self.spec.front_delay);
     }
 
-    /// The front hears later that a process is up or gone, if that is still so then.
-    pub(super) fn announce(self: &Rc<NodeProcess>, up: bool, delay: Duration) {
+    /// Puts the node into the front's rotation, or takes it out, after the delay, unless the state
+    /// has changed back by then.
+    pub(super) fn notify_front(self: &Rc<NodeProcess>, up: bool, delay: Duration) {
         let process = self.clone();
         spawn_local(async move {
             sleep(delay).await;
@@ -229,41 +232,43 @@
             .is_some_and(|pid| kill_process(pid, signal).is_ok())
     }
 
-    /// Kills the process: it loses all that it has.
+    /// Kills the process with SIGKILL. Its open API calls are lost and excused by the rule monitor.
     pub fn kill(&self) {
-        self.end_expected.set(true);
+        self.exit_expected.set(true);
         self.monitor.excuse(self.spec.node);
         if self.signal(Signal::KILL) {
             self.record("killed");
-            self.set_state(ProcessState::Ending);
+            self.set_state(ProcessState::Stopping);
         }
     }
 
-    /// Asks for a graceful shutdown: what the process has taken it still answers.
+    /// Starts a graceful shutdown with SIGTERM. The process must still respond to its open API
+    /// calls.
     pub fn terminate(self: &Rc<NodeProcess>) {
-        self.end_expected.set(true);
+        self.exit_expected.set(true);
         if self.signal(Signal::TERM) {
-            self.record("asked to end");
-            self.set_state(ProcessState::Ending);
-            self.announce(false, SHUTDOWN_ANNOUNCED);
+            self.record("sent SIGTERM");
+            self.set_state(ProcessState::Stopping);
+            self.notify_front(false, SHUTDOWN_NOTICE_DELAY);
         }
     }
 
-    /// Stops the process until it is resumed.
+    /// Suspends the process with SIGSTOP until it is resumed.
     pub fn pause(&self) {
         if self.state.get() == ProcessState::Up && self.signal(Signal::STOP) {
             self.monitor.excuse(self.spec.node);
-            self.record("stands still");
+            self.record("paused");
             self.set_state(ProcessState::Paused);
         }
     }
 
-    /// Continues a paused process.
+    /// Resumes a paused process with SIGCONT.
     pub fn resume(&self) {
         if self.state.get() == ProcessState::Paused && self.signal(Signal::CONT) {
-            // What came meanwhile was never seen by it in time.
+            // API calls taken during the pause stay excused: the process could not see them in
+            // time.
             self.monitor.resume(self.spec.node);
-            self.record("goes on");
+            self.record("resumed");
             self.set_state(ProcessState::Up);
         }
     }
--- a/crates/lab/src/fleet/process_log.rs
+++ b/crates/lab/src/fleet/process_log.rs
@@ -1,4 +1,5 @@
-//! A node's log: kept in a file, recorded as events, and read for the line that says that the node serves.
+//! Follows the log of a node's process: appends its lines to a file, records them as events, and
+//! detects from them that the node serves.
 use std::fs::OpenOptions;
 use std::io::Write;
 use std::rc::Rc;
@@ -9,12 +10,13 @@
 
 use super::process::{NodeProcess, ProcessState};
 
-/// Longest line that is kept, in bytes.
-const MAX_LINE: usize = 2_000;
-/// In the line with which a node says that it serves.
-const SERVES: &str = "serves on";
+/// Longest log line that is kept, in bytes; the rest of a longer line is cut off.
+const MAX_LINE_BYTES: usize = 2_000;
+/// Text in the log line that a node writes once it serves.
+const SERVING_MARKER: &str = "serves on";
 
 impl NodeProcess {
+    /// Reads the log until the process closes it.
     pub(super) async fn follow_log(self: Rc<NodeProcess>, log: ChildStderr) {
         let mut lines = BufReader::new(log).lines();
         let mut file = OpenOptions::new()
@@ -23,31 +25,32 @@
             .open(&self.spec.log)
             .ok();
         while let Ok(Some(mut line)) = lines.next_line().await {
-            line.truncate(line.floor_char_boundary(MAX_LINE));
+            line.truncate(line.floor_char_boundary(MAX_LINE_BYTES));
             if let Some(file) = &mut file {
                 let _ = writeln!(file, "{line}");
             }
-            let message = message(&line);
-            if message.contains(SERVES) && self.state() == ProcessState::Starting {
+            let message = extract_message(&line);
+            if message.contains(SERVING_MARKER) && self.state() == ProcessState::Starting {
                 self.set_state(ProcessState::Up);
-                self.announce(true, self.ready_delay());
+                self.notify_front(true, self.front_notice_delay());
             }
             self.record(message.clone());
-            self.last_line.replace(message);
+            self.last_log_line.replace(message);
         }
     }
 
-    /// The first start belongs to the set-up, of which the front hears at once.
-    fn ready_delay(&self) -> Duration {
-        match self.starts() {
+    /// Returns the delay until the front is notified that the process serves. The first start is
+    /// part of the setup, so the front is notified at once.
+    fn front_notice_delay(&self) -> Duration {
+        match self.start_count() {
             1 => Duration::ZERO,
             _ => self.spec.front_delay,
         }
     }
 }
 
-/// The message of a log line with its fields, from the program's JSON or from plain text.
-fn message(line: &str) -> String {
+/// Returns the message of a JSON log line with its fields, or a plain text line as it is.
+fn extract_message(line: &str) -> String {
     let json: Option<serde_json::Value> = serde_json::from_str(line).ok();
     let Some(fields) = json
         .as_ref()
--- a/crates/lab/src/fleet/proxy.rs
+++ b/crates/lab/src/fleet/proxy.rs
@@ -1,5 +1,5 @@
-//! A TCP proxy between a node and one server: a listening socket for each pair, so that the link between the two can be
-//! impaired by itself, in each direction.
+//! A TCP proxy between one node and one server. There is a listening socket for each such pair, so
+//! that the link between the two can be impaired separately, in each direction.
 use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
@@ -17,48 +17,49 @@
 use crate::rule_monitor::RuleMonitor;
 use crate::stub::SendTimes;
 
-/// Connections not yet taken that wait while the proxy accepts.
+/// Length of the queue of connections that the proxy has not accepted yet.
 const BACKLOG: u32 = 1024;
-/// Time until the next try where the address is still taken.
-const BIND_RETRY: Duration = Duration::from_millis(20);
-/// Bytes between the link and the stub server.
+/// Delay before another attempt to listen on an address that is still in use.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Size of the buffer between the link and the stub server, in bytes.
 const BUFFER_SIZE: usize = 64 * 1024;
-/// Time for the connection that fills the queue to come out of it.
+/// Longest time to accept the next connection while the queue is emptied up to the connection that
+/// blocks it.
 const UNBLOCK_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// How a machine treats new connections.
+/// How the proxy treats connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Accepting {
-    /// They are taken.
-    Yes,
-    /// A connect hears nothing.
-    Silent,
-    /// A connect is refused, and connections are reset.
-    Refusing,
+pub enum AcceptMode {
+    /// Accepts new connections.
+    Accept,
+    /// Leaves new connections without a reply, as if their packets were lost.
+    Ignore,
+    /// Refuses new connections and resets open ones.
+    Refuse,
 }
 
-/// One proxy, with the links to and from the server.
+/// A proxy, with the links to and from the server.
 pub struct Proxy {
     addr: SocketAddr,
     to_server: Rc<Link>,
     to_node: Rc<Link>,
-    accepting: watch::Sender<Accepting>,
-    /// Number of active faults that reset connections.
+    accept_mode: watch::Sender<AcceptMode>,
+    /// Number of active faults that reset connections; while it is not 0, connections are refused.
     pub resetting_faults: Cell<usize>,
     listening: Cell<bool>,
 }
 
-/// A connection as the server has it.
+/// The server's end of a connection from the node.
 pub struct Connection {
-    /// What the server reads and writes.
+    /// Stream that the server reads and writes.
     pub stream: DuplexStream,
-    /// When the node's bytes were sent.
+    /// Times at which the node sent its bytes.
     pub send_times: Rc<SendTimes>,
-    /// What has been handed to the node.
+    /// Progress of the bytes delivered to the node.
     pub delivered: Rc<Delivered>,
 }
 
-/// Bytes that have been handed to the node on one connection.
+/// Number of bytes delivered to the node on one connection.
 #[derive(Default)]
 pub struct Delivered {
     bytes: Cell<u64>,
@@ -66,7 +67,7 @@
 }
 
 impl Delivered {
-    /// Ready once so many bytes are there.
+    /// Waits until at least this number of bytes has been delivered.
     pub async fn wait_for(&self, bytes: u64) {
         loop {
             let increased = self.increased.notified();
@@ -90,10 +91,10 @@
     socket.listen(BACKLOG)
 }
 
-/// A listening socket whose queue may be kept full.
+/// A listening socket that can be blocked by a full queue.
 struct Listener {
     socket: TcpListener,
-    /// The connection that fills the queue.
+    /// The connection that fills the queue while the listener is blocked.
     queue_filler: Option<TcpStream>,
 }
 
@@ -105,8 +106,9 @@
         }
     }
 
-    /// Keeps the queue full; hands what was in it to `relay`. With no place behind the one connection that fills the
-    /// queue, the system ignores a connect as if its first packet had been lost.
+    /// Blocks new connections: passes the queued ones to `relay`, then fills the queue, which is
+    /// cut to a length of one, with a connection of its own. While the queue is full, the system
+    /// ignores a connect as if its first packet had been lost.
     async fn block(&mut self, addr: SocketAddr, relay: impl Fn(TcpStream)) {
         if self.queue_filler.is_some() {
             return;
@@ -118,7 +120,8 @@
         self.queue_filler = TcpStream::connect(addr).await.ok();
     }
 
-    /// Takes the connection that fills the queue out of it; hands those before it to `relay`.
+    /// Allows new connections again: takes the filling connection out of the queue, and passes the
+    /// connections queued before it to `relay`.
     async fn unblock(&mut self, relay: impl Fn(TcpStream)) {
         let Some(queue_filler) = self.queue_filler.take() else {
             return;
@@ -135,60 +138,61 @@
 }
 
 impl Proxy {
-    /// A proxy that does not listen yet.
+    /// Creates a proxy that does not listen yet.
     pub fn new(addr: SocketAddr, to_server: Rc<Link>, to_node: Rc<Link>) -> Rc<Proxy> {
         Rc::new(Proxy {
             addr,
             to_server,
             to_node,
-            accepting: watch::Sender::new(Accepting::Yes),
+            accept_mode: watch::Sender::new(AcceptMode::Accept),
             resetting_faults: Cell::new(0),
             listening: Cell::new(false),
         })
     }
 
-    /// Fails where the address can't be had.
-    pub fn probe(&self) -> io::Result<()> {
+    /// Checks that the proxy can listen on its address.
+    pub fn check_address(&self) -> io::Result<()> {
         listen(self.addr).map(drop)
     }
 
-    /// Whether it has begun to listen.
+    /// Whether the proxy has started to listen.
     pub fn is_listening(&self) -> bool {
         self.listening.get()
     }
 
-    /// Takes, ignores or refuses connections from now on, as the links are and as the server is.
-    pub fn update_accepting(&self, server_up: bool) {
+    /// Accepts, ignores or refuses connections from now on, depending on the impairments of the
+    /// links and on whether the server is up.
+    pub fn update_accept_mode(&self, server_up: bool) {
         let partitioned =
             self.to_server.impairment().partitioned || self.to_node.impairment().partitioned;
         let resets = self.resetting_faults.get() > 0;
-        let accepting = match (resets, partitioned, server_up) {
-            (true, ..) => Accepting::Refusing,
-            // A node that is cut off hears of no refusal either.
-            (_, true, _) => Accepting::Silent,
-            (_, _, false) => Accepting::Refusing,
-            _ => Accepting::Yes,
+        let accept_mode = match (resets, partitioned, server_up) {
+            (true, ..) => AcceptMode::Refuse,
+            // During a partition, no refusal reaches the node either.
+            (_, true, _) => AcceptMode::Ignore,
+            (_, _, false) => AcceptMode::Refuse,
+            _ => AcceptMode::Accept,
         };
-        self.accepting
-            .send_if_modified(|current| std::mem::replace(current, accepting) != accepting);
+        self.accept_mode
+            .send_if_modified(|current| std::mem::replace(current, accept_mode) != accept_mode);
     }
 
-    /// Takes connections for ever, and hands each to `serve`.
+    /// Accepts connections until the run ends, and passes the server's end of each to `serve`.
     pub async fn run(
         self: Rc<Proxy>,
-        clock: Rc<RuleMonitor>,
+        monitor: Rc<RuleMonitor>,
         serve: impl Fn(Connection) + Clone + 'static,
     ) {
         let relay = |stream: TcpStream| {
-            spawn_local(self.clone().relay(stream, clock.clone(), serve.clone()));
+            spawn_local(self.clone().relay(stream, monitor.clone(), serve.clone()));
         };
-        let mut accepting = self.accepting.subscribe();
+        let mut accept_mode = self.accept_mode.subscribe();
         let mut listener: Option<Listener> = None;
         loop {
-            let current = *accepting.borrow_and_update();
-            if current == Accepting::Refusing {
+            let current = *accept_mode.borrow_and_update();
+            if current == AcceptMode::Refuse {
                 listener = None;
-                if accepting.changed().await.is_err() {
+                if accept_mode.changed().await.is_err() {
                     return;
                 }
                 continue;
@@ -197,9 +201,9 @@
                 listener = self.open_listener().await;
                 continue;
             };
-            if current == Accepting::Silent {
+            if current == AcceptMode::Ignore {
                 listener.block(self.addr, relay).await;
-                if accepting.changed().await.is_err() {
+                if accept_mode.changed().await.is_err() {
                     return;
                 }
                 continue;
@@ -209,17 +213,17 @@
                 accepted = listener.socket.accept() => if let Ok((stream, _)) = accepted {
                     relay(stream);
                 },
-                changed = accepting.changed() => if changed.is_err() {
+                changed = accept_mode.changed() => if changed.is_err() {
                     return;
                 },
             }
         }
     }
 
-    /// Listens; where the address is still taken, waits a while instead.
+    /// Opens the listening socket. If the address is still in use, returns `None` after a delay.
     async fn open_listener(&self) -> Option<Listener> {
         let Ok(socket) = listen(self.addr) else {
-            sleep(BIND_RETRY).await;
+            sleep(BIND_RETRY_DELAY).await;
             return None;
         };
         self.listening.set(true);
@@ -229,7 +233,7 @@
     async fn relay(
         self: Rc<Proxy>,
         mut stream: TcpStream,
-        clock: Rc<RuleMonitor>,
+        monitor: Rc<RuleMonitor>,
         serve: impl Fn(Connection),
     ) {
         let _ = stream.set_nodelay(true);
@@ -241,11 +245,11 @@
             send_times: send_times.clone(),
             delivered: delivered.clone(),
         });
-        let mut accepting = self.accepting.subscribe();
+        let mut accept_mode = self.accept_mode.subscribe();
         let reset = {
             let (from_node, to_node) = stream.split();
             let (from_server, to_server) = split(proxy_end);
-            let on_sent = |total: u64| send_times.record(total, clock.now());
+            let on_sent = |total: u64| send_times.record(total, monitor.now());
             let on_delivered = |total: u64| delivered.set(total);
             let both_directions = async {
                 tokio::try_join!(
@@ -256,7 +260,7 @@
             };
             tokio::select! {
                 _ = both_directions => false,
-                _ = accepting.wait_for(|accepting| *accepting == Accepting::Refusing) => true,
+                _ = accept_mode.wait_for(|accept_mode| *accept_mode == AcceptMode::Refuse) => true,
             }
         };
         if reset {
--- a/crates/lab/src/fleet/rig/drain_overrides.rs
+++ b/crates/lab/src/fleet/rig/drain_overrides.rs
@@ -1,4 +1,5 @@
-//! Operators' drain overrides: given to nodes, taken back, and every node that serves held to them.
+//! Drain overrides: the rig sets and clears them through the operator API of the nodes, and checks
+//! that all serving nodes obey them.
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,38 +10,40 @@
 use crate::fleet::operators;
 use crate::fleet::process::ProcessState;
 
-/// Within this time every node that serves and is reached knows of an override: well within the list's own lateness.
+/// Time after which every serving and reachable node must know of an override; it is well below
+/// the time that an endpoint list update may take.
 const PROPAGATION_LIMIT: Duration = Duration::from_millis(1_500);
-/// How often nodes are held to the overrides.
+/// Interval between two checks of which nodes must know of which overrides.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What operators ask of a node.
+/// An action of the operator API on a server.
 #[derive(Debug, Clone, Copy)]
-enum Request {
+enum OperatorAction {
     Drain,
     Restore,
 }
 
-impl Request {
-    /// The last part of the operators' path.
+impl OperatorAction {
+    /// Returns the last segment of the request's path.
     fn path_segment(self) -> &'static str {
         match self {
-            Request::Drain => "drain",
-            Request::Restore => "restore",
+            OperatorAction::Drain => "drain",
+            OperatorAction::Restore => "restore",
         }
     }
 }
 
-/// The process of a node that serves, and since when.
+/// A node's serving process, and when it was first seen to serve.
 #[derive(Debug, Clone, Copy)]
 struct Serving {
-    /// Which of the node's processes it is.
+    /// Number of the node's starts up to and including this process.
     start_number: u64,
     since: Instant,
 }
 
 impl Rig {
-    /// Operators have the nodes named drain caches, one after the other, and restore them there.
+    /// Has the fault's nodes drain its caches, one after the other, and restores the caches at the
+    /// same nodes after `duration`, if given.
     pub(super) async fn override_drains(&self, fault_index: usize, duration: Option<Duration>) {
         let nodes = self.plan.target_nodes(fault_index);
         let caches = self.plan.drained_caches(fault_index);
@@ -50,7 +53,7 @@
                 .flat_map(|node| caches.iter().map(move |cache| (*node, *cache)))
         };
         for (node, cache) in pairs() {
-            if self.request(node, cache, Request::Drain).await {
+            if self.send_action(node, cache, OperatorAction::Drain).await {
                 self.drain_overrides
                     .borrow_mut()
                     .insert(cache, Instant::now() + PROPAGATION_LIMIT);
@@ -63,31 +66,33 @@
             for any_node in 0..self.processes.len() {
                 self.monitor.record_endpoint_state(any_node, cache, false);
             }
-            self.request(node, cache, Request::Restore).await;
+            self.send_action(node, cache, OperatorAction::Restore).await;
         }
     }
 
-    /// Whether the node did as asked; one that doesn't breaks the platform's rule.
-    async fn request(&self, node: usize, cache: usize, request: Request) -> bool {
+    /// Sends an operator request about a cache to a node, and returns whether the node accepted
+    /// it. A node that does not accept it breaks the platform rule.
+    async fn send_action(&self, node: usize, cache: usize, action: OperatorAction) -> bool {
         let id = self.stubs.id(cache);
-        let action = request.path_segment();
-        let path = format!("/control/{action}");
-        let reply = operators::post(self.admin_addrs[node], &path, &id).await;
-        let description = operators::describe(&reply);
+        let verb = action.path_segment();
+        let path = format!("/control/{verb}");
+        let response = operators::post(self.admin_addrs[node], &path, &id).await;
+        let description = operators::describe(&response);
         self.event_log.record(
             "operators",
-            format!("{action} {id} at node-{node}: {description}"),
+            format!("{verb} {id} at node-{node}: {description}"),
         );
-        let accepted = reply.is_some_and(|reply| reply.is_ok());
+        let accepted = response.is_some_and(|response| response.is_ok());
         if !accepted {
             self.monitor.record_platform_violation(&format!(
-                "node-{node}, order to {action} {id}: {description}"
+                "node-{node}, request to {verb} {id} failed: {description}"
             ));
         }
         accepted
     }
 
-    /// Holds every node that has served for long enough to the overrides, as to the list.
+    /// Marks each overridden cache as unavailable in the rule monitor, as for a server that the
+    /// endpoint list drains, for every node that has served for at least `PROPAGATION_LIMIT`.
     pub(super) async fn enforce_drain_overrides(self: Rc<Rig>) {
         let mut serving_nodes: BTreeMap<usize, Serving> = BTreeMap::new();
         loop {
@@ -100,7 +105,7 @@
                     continue;
                 }
                 let current = Serving {
-                    start_number: process.starts(),
+                    start_number: process.start_count(),
                     since: now,
                 };
                 let serving = *serving_nodes.entry(node).or_insert(current);
--- a/crates/lab/src/fleet/rig/faults.rs
+++ b/crates/lab/src/fleet/rig/faults.rs
@@ -1,4 +1,4 @@
-//! Faults on their schedule: which each is, and those that affect processes and the datagrams sent to them.
+//! The schedule of faults, and the faults that affect processes and the datagrams sent to them.
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -10,15 +10,15 @@
 use crate::fleet::plan::FaultKind;
 use crate::fleet::process::{NodeProcess, ProcessState};
 
-/// Time between two bursts of a flood.
+/// Interval between two bursts of a flood.
 const FLOOD_INTERVAL: Duration = Duration::from_millis(5);
-/// Time between two deliveries of replayed datagrams.
+/// Interval between two deliveries of the replayed datagrams.
 const REPLAY_INTERVAL: Duration = Duration::from_millis(100);
-/// Least time between the shutdowns of two nodes in a rolling restart.
+/// Shortest interval between the shutdowns of two nodes in a rolling restart.
 const MIN_ROLLING_STEP: Duration = Duration::from_millis(50);
 
 impl Rig {
-    /// Waits for a fault's time, and plays it from its beginning to its end.
+    /// Waits until a fault is due, then plays it to its end.
     pub(super) async fn play_fault(self: Rc<Rig>, fault_index: usize, start: Instant) {
         let fault = &self.plan.faults[fault_index];
         let duration = fault.duration_s.map(Duration::from_secs_f64);
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The processes that a fault affects.
+    /// Returns the processes that a fault affects.
     fn target_processes(&self, fault_index: usize) -> Vec<Rc<NodeProcess>> {
         self.plan
             .target_nodes(fault_index)
@@ -53,7 +53,7 @@
             .collect()
     }
 
-    /// Starts a process; one that can't be started breaks the platform's rule.
+    /// Starts a process; a failure to start breaks the platform rule.
     fn start(&self, process: &Rc<NodeProcess>) {
         if let Err(e) = process.start() {
             self.monitor
@@ -91,7 +91,8 @@
         processes.iter().for_each(|process| process.resume());
     }
 
-    /// Processes shut down gracefully and start again, one after the other.
+    /// Shuts processes down gracefully, one after the other, and starts each again once it has
+    /// exited.
     async fn rolling_restart(self: &Rc<Rig>, fault_index: usize, duration: Duration) {
         let processes = self.target_processes(fault_index);
         let step = (duration / processes.len().max(1) as u32).max(MIN_ROLLING_STEP);
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Delivers what the nodes have sent last, again and again.
+    /// Delivers the latest datagrams of the fault's nodes again and again until the fault ends.
     async fn replay(&self, fault_index: usize, duration: Duration) {
         let end = Instant::now() + duration;
         let nodes = self.plan.target_nodes(fault_index);
@@ -117,7 +118,7 @@
         let count = datagrams.len();
         self.event_log.record(
             "links",
-            format!("{count} datagrams of nodes {nodes:?} come again"),
+            format!("replaying {count} datagrams of nodes {nodes:?}"),
         );
         while Instant::now() < end {
             for datagram in &datagrams {
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Delivers datagrams that no peer has sent, at the rate of the fault.
+    /// Delivers malformed, forged and repeated datagrams to the fault's nodes, at its rate.
     async fn flood(&self, fault_index: usize, duration: Duration) {
         let end = Instant::now() + duration;
         let nodes = self.plan.target_nodes(fault_index);
@@ -135,17 +136,17 @@
         let mut rng = Pcg::new(self.plan.scenario.seed);
         self.event_log.record(
             "links",
-            format!("nodes {nodes:?} get {rate} spoilt datagrams a second each"),
+            format!("flood begins: nodes {nodes:?} get {rate} datagrams per second each"),
         );
         let burst = (rate * FLOOD_INTERVAL.as_secs_f64()).ceil() as usize;
         while Instant::now() < end {
             for node in &nodes {
                 for _ in 0..burst {
-                    self.datagrams.send_corrupt(*node, &mut rng).await;
+                    self.datagrams.send_flood_datagram(*node, &mut rng).await;
                 }
             }
             sleep(FLOOD_INTERVAL).await;
         }
-        self.event_log.record("links", "the flood ends");
+        self.event_log.record("links", "flood ends");
     }
 }
--- a/crates/lab/src/fleet/rig/mod.rs
+++ b/crates/lab/src/fleet/rig/mod.rs
@@ -1,5 +1,5 @@
-//! One run of a plan: relays, servers, processes and clients are set up, faults follow their schedule, and the outcome is gathered
-//! at the end.
+//! One run of a plan: sets up proxies, stub servers, node processes and clients, plays the faults
+//! on their schedule, and collects the outcome at the end.
 mod drain_overrides;
 mod faults;
 mod network;
@@ -30,14 +30,14 @@
 use crate::stub::StubServers;
 use proxies::Proxies;
 
-/// Within this time a process that was started serves, and one that was killed has ended.
+/// Time within which a started process must serve, and a killed one must have exited.
 const PROCESS_TIMEOUT: Duration = Duration::from_secs(30);
-/// Delay until the front has heard of all processes that have started.
-const FRONT_DELAY: Duration = Duration::from_millis(50);
-/// Time after the last call for what is still under way.
-const DRAIN_TIME: Duration = Duration::from_millis(500);
+/// Delay before the first call, in which the front is notified of all started processes.
+const FRONT_SETUP_TIME: Duration = Duration::from_millis(50);
+/// Time after the last call for requests and responses still in flight.
+const IN_FLIGHT_GRACE: Duration = Duration::from_millis(500);
 
-/// Everything that takes part in a run.
+/// The parts of a run.
 pub struct Rig {
     plan: Plan,
     stubs: Rc<StubServers>,
@@ -47,14 +47,14 @@
     links: BTreeMap<LinkId, Rc<Link>>,
     proxies: Proxies,
     datagrams: Rc<DatagramRelay>,
-    /// Where operators reach each node.
+    /// Address of each node's operator API.
     admin_addrs: Vec<SocketAddr>,
-    /// Caches that operators drain, and from when on every node that serves must know of it.
+    /// Caches under a drain override, each with the time by which serving nodes must know of it.
     drain_overrides: RefCell<BTreeMap<usize, Instant>>,
 }
 
 impl Rig {
-    /// Plays the plan; logs and configurations are written to the folder.
+    /// Plays the plan, and writes logs and configurations to the folder.
     pub async fn play(
         plan: &Plan,
         programs: &Programs,
@@ -79,7 +79,7 @@
             .map(|process| process.endpoint.clone())
             .collect();
         let report = drive(&rig.plan.scenario, &endpoints, &rig.monitor).await;
-        sleep(DRAIN_TIME).await;
+        sleep(IN_FLIGHT_GRACE).await;
         let views = rig.membership_views().await;
         let outcome = rig.outcome(report, &views);
         rig.kill_all().await;
@@ -104,17 +104,18 @@
             let timed_out = timeout(PROCESS_TIMEOUT, settled).await.is_err();
             if timed_out || process.state() == ProcessState::Down {
                 return Err(LabError(format!(
-                    "{} does not serve; it said last: {}",
+                    "{} does not serve; last log line: {}",
                     process.name,
-                    process.last_line.borrow()
+                    process.last_log_line.borrow()
                 )));
             }
         }
-        sleep(FRONT_DELAY).await;
+        sleep(FRONT_SETUP_TIME).await;
         Ok(())
     }
 
-    /// Guards against processes that still listen where the next rig may be given the same addresses.
+    /// Kills all processes and waits for their exit, so that none still listens on an address that
+    /// the next rig may claim.
     async fn kill_all(&self) {
         for process in &self.processes {
             process.kill();
--- a/crates/lab/src/fleet/rig/network.rs
+++ b/crates/lab/src/fleet/rig/network.rs
@@ -1,4 +1,4 @@
-//! Faults of the network: partitions and impaired links, with what they do to listening sockets.
+//! Network faults: partitions and impaired links, and their effect on listening sockets.
 use std::time::Duration;
 
 use tokio::time::sleep;
@@ -8,17 +8,17 @@
 use crate::fleet::link::Impairment;
 use crate::fleet::plan::{Endpoint, FaultKind, LinkId};
 
-/// Most links that are logged by name; of more only the first is.
+/// Most links that are all logged by name; of a longer list, only the first link is.
 const MAX_NAMED_LINKS: usize = 6;
 
 impl Rig {
-    /// Partitions or impairs the links of a fault for as long as it lasts.
+    /// Partitions or impairs the links of a fault while it lasts.
     pub(super) async fn impair_links(&self, fault_index: usize, duration: Option<Duration>) {
         let links = self.plan.affected_links(fault_index);
         let description = self.describe_links(&links);
         let kind = match self.plan.faults[fault_index].kind {
-            FaultKind::Partition => "Cut",
-            _ => "Spoil",
+            FaultKind::Partition => "partition",
+            _ => "impairment",
         };
         self.event_log
             .record("links", format!("{kind} begins: {description}"));
@@ -32,9 +32,9 @@
 
     fn begin_impairment(&self, fault_index: usize, links: &[LinkId]) {
         let fault = &self.plan.faults[fault_index];
-        let impairment = Impairment::of(fault);
+        let impairment = Impairment::from_fault(fault);
         for link in links.iter().filter_map(|link| self.links.get(link)) {
-            link.begin(fault_index, impairment);
+            link.add_fault(fault_index, impairment);
         }
         self.update_proxies(links, |resets| match fault.reset {
             true => resets + 1,
@@ -45,7 +45,7 @@
     fn end_impairment(&self, fault_index: usize, links: &[LinkId]) {
         let fault = &self.plan.faults[fault_index];
         for link in links.iter().filter_map(|link| self.links.get(link)) {
-            link.end(fault_index);
+            link.remove_fault(fault_index);
         }
         self.update_proxies(links, |resets| match fault.reset {
             true => resets.saturating_sub(1),
@@ -53,7 +53,8 @@
         });
     }
 
-    /// Listening sockets on these links take connections or not, as their links now are.
+    /// Updates whether the proxies on these links accept connections, after a change of the links.
+    /// `new_resets` maps a proxy's number of resetting faults to the new one.
     fn update_proxies(&self, links: &[LinkId], new_resets: impl Fn(usize) -> usize) {
         for link in links {
             let Some(id) = ProxyId::on_link(*link) else {
@@ -65,7 +66,7 @@
             proxy
                 .resetting_faults
                 .set(new_resets(proxy.resetting_faults.get()));
-            proxy.update_accepting(match id.upstream {
+            proxy.update_accept_mode(match id.upstream {
                 Endpoint::Server(server) => *self.stubs.up(server).borrow(),
                 _ => true,
             });
--- a/crates/lab/src/fleet/rig/proxies.rs
+++ b/crates/lab/src/fleet/rig/proxies.rs
@@ -1,4 +1,5 @@
-//! The proxies between nodes and servers: each listens for its node and hands connections to its stub server.
+//! The proxies between nodes and servers: each accepts connections of one node and passes them to
+//! one stub server or to the stub of discovery.
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,13 +16,13 @@
 use crate::scenario::LabError;
 use crate::stub::{NodeConnection, StubServers};
 
-/// Time between two looks at whether all proxies listen.
+/// Interval between two checks of whether all proxies listen.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The proxies of a run.
 pub(super) type Proxies = BTreeMap<ProxyId, Rc<Proxy>>;
 
-/// Between which node and which server, or discovery, a proxy stands.
+/// Identifies a proxy by its node and by its server or discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ProxyId {
     pub(super) node: usize,
@@ -29,7 +30,7 @@
 }
 
 impl ProxyId {
-    /// The proxy that a link goes through; none for links between nodes.
+    /// Returns the proxy that a link goes through, or `None` for a link between nodes.
     pub(super) fn on_link(link: LinkId) -> Option<ProxyId> {
         match (link.from, link.to) {
             (Endpoint::Node(_), Endpoint::Node(_)) => None,
@@ -42,7 +43,7 @@
 }
 
 impl Rig {
-    /// Opens every proxy, and has each follow whether its server is up.
+    /// Starts every proxy; one to a server accepts connections only while the server is up.
     pub(super) fn open_proxies(&self, block: &AddressBlock) {
         for (&ProxyId { node, upstream }, proxy) in &self.proxies {
             match upstream {
@@ -76,7 +77,7 @@
         spawn_local(proxy.clone().run(self.monitor.clone(), serve));
     }
 
-    /// Guards against a process that finds nobody listening yet.
+    /// Waits until all proxies listen, so that no node is refused a connection at its start.
     pub(super) async fn wait_for_proxies(&self) -> Result<(), LabError> {
         let all_listen = async {
             while !self.proxies.values().all(|proxy| proxy.is_listening()) {
@@ -89,11 +90,11 @@
     }
 }
 
-/// Has a proxy take connections or refuse them as its server is up or down.
+/// Lets a proxy accept connections while its server is up, and refuse them while it is down.
 async fn follow_server(proxy: Rc<Proxy>, mut server_up: watch::Receiver<bool>) {
     loop {
         let up = *server_up.borrow_and_update();
-        proxy.update_accepting(up);
+        proxy.update_accept_mode(up);
         if server_up.changed().await.is_err() {
             return;
         }
--- a/crates/lab/src/fleet/rig/setup.rs
+++ b/crates/lab/src/fleet/rig/setup.rs
@@ -1,4 +1,4 @@
-//! Setting up a run: links, proxies, the datagram relay, and a configuration for each node.
+//! Setup of a run: links, proxies, the datagram relay, and a configuration file for each node.
 use std::collections::{BTreeMap, HashMap};
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 use crate::fleet::configuration::configuration;
 use crate::fleet::datagrams::{DatagramRelay, NodePair};
 use crate::fleet::event_log::EventLog;
-use crate::fleet::in_io;
+use crate::fleet::io_error;
 use crate::fleet::link::Link;
 use crate::fleet::plan::{Endpoint, LinkId, Plan};
 use crate::fleet::process::{NodeProcess, ProcessSpec, Programs};
@@ -20,10 +20,10 @@
 use crate::scenario::LabError;
 use crate::stub::StubServers;
 
-/// Connections of all clients to one node.
+/// Number of client connections to each node.
 const CLIENT_CONNECTIONS: usize = 512;
 
-/// Links that have been made so far.
+/// The links created so far.
 struct LinkTable {
     seed: u64,
     links: BTreeMap<LinkId, Rc<Link>>,
@@ -37,8 +37,9 @@
         }
     }
 
-    /// The link between two ends, made when it is first asked for; its seed depends on how many there are then.
-    fn get(&mut self, from: Endpoint, to: Endpoint) -> Rc<Link> {
+    /// Returns the link from one endpoint to another, and creates it on first use. Its seed depends
+    /// on the number of links created before.
+    fn get_or_create(&mut self, from: Endpoint, to: Endpoint) -> Rc<Link> {
         let seed = self.seed ^ (self.links.len() as u64) << 24;
         self.links
             .entry(LinkId { from, to })
@@ -48,7 +49,7 @@
 }
 
 impl Rig {
-    /// Sets up everything but the processes, which start later.
+    /// Sets up everything except the processes, which start later.
     pub(super) async fn new(
         plan: &Plan,
         programs: &Programs,
@@ -97,11 +98,11 @@
 
 fn write_config(folder: &Path, node: usize, config: String) -> Result<PathBuf, LabError> {
     let file = folder.join(format!("node-{node}.json"));
-    std::fs::write(&file, config).map_err(in_io(&file.display().to_string()))?;
+    std::fs::write(&file, config).map_err(io_error(&file.display().to_string()))?;
     Ok(file)
 }
 
-/// A proxy for each node and server, and one for each node's discovery.
+/// Creates a proxy for each pair of a node and a server, and one for each node's discovery.
 fn new_proxies(
     plan: &Plan,
     block: &AddressBlock,
@@ -118,17 +119,17 @@
                 Endpoint::Server(server) => block.server(node, server),
                 _ => block.discovery(node),
             };
-            let to_server = links.get(Endpoint::Node(node), upstream);
-            let to_node = links.get(upstream, Endpoint::Node(node));
+            let to_server = links.get_or_create(Endpoint::Node(node), upstream);
+            let to_node = links.get_or_create(upstream, Endpoint::Node(node));
             let proxy = Proxy::new(addr, to_server, to_node);
-            proxy.probe().map_err(in_io(&addr.to_string()))?;
+            proxy.check_address().map_err(io_error(&addr.to_string()))?;
             proxies.insert(ProxyId { node, upstream }, proxy);
         }
     }
     Ok(proxies)
 }
 
-/// The sockets between nodes.
+/// Creates the links and the relay for datagrams between nodes.
 async fn new_datagram_relay(
     plan: &Plan,
     block: &AddressBlock,
@@ -138,7 +139,7 @@
     let mut node_links = HashMap::new();
     for from in 0..nodes {
         for to in (0..nodes).filter(|to| *to != from) {
-            let link = links.get(Endpoint::Node(from), Endpoint::Node(to));
+            let link = links.get_or_create(Endpoint::Node(from), Endpoint::Node(to));
             node_links.insert(NodePair { from, to }, link);
         }
     }
@@ -146,5 +147,5 @@
     let relay_addr = |from, to| block.peer_as_seen_by(from, to);
     DatagramRelay::open(node_addrs, relay_addr, node_links)
         .await
-        .map_err(in_io("peers"))
+        .map_err(io_error("peers"))
 }
--- a/crates/lab/src/fleet/rig/verdict.rs
+++ b/crates/lab/src/fleet/rig/verdict.rs
@@ -1,4 +1,5 @@
-//! The outcome of a run: members as each process sees them, expectations that were missed, and the figures.
+//! The verdict on a run: the members that each process reports, the missed expectations, and the
+//! figures.
 use std::collections::BTreeMap;
 
 use quartzhub_policy::Time;
@@ -13,11 +14,11 @@
 use crate::fleet::timeline::FaultPeriod;
 use crate::stats::Report;
 
-/// The members that each process reports to operators, by its node.
+/// The membership that each process reports through the operator API, by its node.
 type MembershipViews = BTreeMap<usize, Value>;
 
 impl Rig {
-    /// Reads the members of each process that serves; none where membership is off.
+    /// Queries the membership view of each serving process; a process with membership off has none.
     pub(super) async fn membership_views(&self) -> MembershipViews {
         let mut views = BTreeMap::new();
         for process in &self.processes {
@@ -25,14 +26,14 @@
                 continue;
             }
             let node = process.node();
-            let reply = operators::get(self.admin_addrs[node], "/control/members").await;
-            let reply = reply.filter(operators::Reply::is_ok);
-            let Some(view) = reply.and_then(|reply| reply.json()) else {
+            let response = operators::get(self.admin_addrs[node], "/control/members").await;
+            let response = response.filter(operators::Response::is_ok);
+            let Some(view) = response.and_then(|response| response.json()) else {
                 continue;
             };
             let summary = quartzhub_node::peers::summary(&view);
             self.event_log
-                .record(&process.name, format!("holds at the end {summary}"));
+                .record(&process.name, format!("membership at the end: {summary}"));
             views.insert(node, view);
         }
         views
@@ -46,13 +47,13 @@
             .collect()
     }
 
-    /// Where views differ from what runs, in words.
+    /// Describes each difference between the membership views and the processes that serve.
     fn disagreements(&self, views: &MembershipViews) -> Vec<String> {
         let nodes_up = self.nodes_up();
         let mut disagreements: Vec<_> = nodes_up
             .iter()
             .filter(|node| !views.contains_key(node))
-            .map(|node| format!("node-{node} tells no members"))
+            .map(|node| format!("node-{node} reports no members"))
             .collect();
         for (observer, view) in views {
             for member in view["nodes"].as_array().into_iter().flatten() {
@@ -60,25 +61,25 @@
                 let state = &member["state"];
                 let is_member = matches!(state.as_str(), Some("alive" | "suspect"));
                 if is_member != nodes_up.contains(&node) {
-                    disagreements.push(format!("node-{observer} holds node-{node} for {state}"));
+                    disagreements.push(format!("node-{observer} reports node-{node} as {state}"));
                 }
             }
         }
         disagreements
     }
 
-    /// Expectations of the plan that were missed, each by its key.
+    /// Returns the missed expectations of the plan, each with its key.
     fn missed_expectations(&self, report: &Report, views: &MembershipViews) -> Vec<String> {
         let expect = &self.plan.expect;
         let service = report.all.service();
         let nodes_up = self.nodes_up().len();
         let mut missed = Vec::new();
         if report.all.total == 0 {
-            missed.push("no API call was asked and counted".to_owned());
+            missed.push("no API call was sent and counted".to_owned());
         }
         if service < expect.service {
             missed.push(format!(
-                "expect.service: {service:.4} is under {}",
+                "expect.service: {service:.4} is below {}",
                 expect.service
             ));
         }
@@ -100,37 +101,37 @@
         missed
     }
 
-    /// When each fault was at work: those of processes and links, then those of servers.
+    /// Returns the period of each fault: first those of processes and links, then those of servers.
     fn fault_periods(&self) -> Vec<FaultPeriod> {
         let end = self.plan.scenario.seconds;
-        let of_plan = self.plan.faults.iter().map(|fault| FaultPeriod {
+        let process_and_link_faults = self.plan.faults.iter().map(|fault| FaultPeriod {
             name: fault.kind.key().to_owned(),
             from: fault.start_s,
             to: fault
                 .duration_s
                 .map_or(end, |duration_s| fault.start_s + duration_s),
         });
-        let of_servers = self.plan.scenario.faults.iter().map(|fault| FaultPeriod {
+        let server_faults = self.plan.scenario.faults.iter().map(|fault| FaultPeriod {
             name: format!("{:?} of servers", fault.kind).to_lowercase(),
             from: fault.start_s,
             to: fault.start_s + fault.duration_s,
         });
-        of_plan.chain(of_servers).collect()
+        process_and_link_faults.chain(server_faults).collect()
     }
 
-    /// Datagrams on all links between nodes.
+    /// Counts the datagrams on all links between nodes.
     fn datagram_counts(&self) -> DatagramCounts {
         let mut counts = DatagramCounts::default();
         for (id, link) in &self.links {
             if let (Endpoint::Node(_), Endpoint::Node(_)) = (id.from, id.to) {
-                counts.sent += link.datagrams.get();
-                counts.arrived += link.arrived.get();
+                counts.sent += link.datagrams_sent.get();
+                counts.arrived += link.datagrams_arrived.get();
             }
         }
         counts
     }
 
-    /// Attempts to the origin by the second of the run.
+    /// Returns the number of attempts to the origin in each second of the run.
     fn origin_attempts_by_second(&self) -> Vec<u64> {
         let first_second = (self.event_log.start().0 / 1_000_000) as usize;
         self.stubs
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -223,7 +223,7 @@
     Misbehavior {
         name: "ends-by-itself",
         rule: Rule::Platform,
-        violation: "ended by itself",
+        violation: "exited by itself",
     },
 ];
 
