--- a/crates/lab/src/fleet/addresses.rs
+++ b/crates/lab/src/fleet/addresses.rs
@@ -1,48 +1,51 @@
-//! Loopback addresses of one run: a block for each run, and in it one address for each socket of the fleet.
+//! The loopback addresses of a run: each run claims a block, which has an address and port for each
+//! listening socket of the fleet.
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 
 use crate::scenario::LabError;
 
-/// Where a node listens for clients, a port of its own address.
+/// Port on which a node listens for clients.
 const CLIENT_PORT: u16 = 7000;
-/// Where a node listens for operators.
+/// Port on which a node listens for operators.
 const ADMIN_PORT: u16 = 7001;
-/// Where a node listens for its peers.
+/// Port on which a node listens for its peers.
 const PEER_PORT: u16 = 7002;
-/// The port at which a node reaches discovery.
+/// Port at which a node reaches discovery.
 const DISCOVERY_PORT: u16 = 7099;
-/// The port at which a node reaches its first server; the others follow.
+/// Port at which a node reaches the first server; those of the other servers follow.
 const FIRST_SERVER_PORT: u16 = 7100;
-/// The port at which a node reaches its first peer; the others follow.
+/// Port at which a node reaches the first peer; those of the other peers follow.
 const FIRST_PEER_PORT: u16 = 8000;
-/// Last byte of the address whose listening socket claims the block.
+/// Fourth byte of the address whose listening socket claims the block.
 const CLAIM_BYTE: u8 = 254;
 /// Port of the listening socket that claims the block.
 const CLAIM_PORT: u16 = 6999;
-/// Third bytes of a block, from its first on: the nodes' own addresses, those of servers and those of peers; the
-/// fourth is spare.
+/// Number of consecutive third bytes in a block: the first is for the nodes' own addresses, the
+/// second for those of servers and discovery, the third for those of peers; the fourth is unused.
 const BLOCK_SIZE: u8 = 4;
-/// The last third byte at which a block begins.
+/// Highest third byte at which a block can start.
 const LAST_START: u8 = 252;
-/// The first second byte of the blocks that are tried.
+/// Lowest second byte in the search for a free block.
 const FIRST_SECOND_BYTE: usize = 64;
-/// Number of second bytes that are tried.
+/// Number of second bytes in the search for a free block.
 const SECOND_BYTES: usize = 63;
-/// Number of blocks within one second byte.
+/// Number of blocks with the same second byte.
 const BLOCKS_PER_BYTE: usize = 64;
-/// Number of blocks that are tried.
+/// Number of blocks in the search for a free block.
 const BLOCKS: usize = SECOND_BYTES * BLOCKS_PER_BYTE;
 
-/// Addresses of one rig: a block of loopback that no other holds.
+/// The addresses of one rig: a block of loopback addresses that no other rig has claimed.
 pub struct AddressBlock {
-    /// Second and third byte of the block's first address.
+    /// Second byte of the block's addresses.
     second: u8,
+    /// Lowest third byte of the block's addresses.
     third: u8,
+    /// Listening socket that prevents other rigs from claiming the block.
     _claim: TcpListener,
 }
 
 impl AddressBlock {
-    /// The block named, such as "127.90.0", or any free one.
+    /// Claims the named block, such as "127.90.0", or any free one if no name is given.
     pub fn claim(named: Option<&str>) -> Result<AddressBlock, LabError> {
         match named {
             Some(named) => AddressBlock::claim_named(named),
@@ -54,14 +57,15 @@
         let bytes: Vec<Option<u8>> = named.split('.').map(|byte| byte.parse().ok()).collect();
         let [Some(127), Some(second), Some(third @ ..=LAST_START)] = bytes[..] else {
             return Err(LabError(format!(
-                "block: {named:?} is no block such as \"127.90.0\""
+                "block: {named:?} is not a block such as \"127.90.0\""
             )));
         };
         let taken = |e| LabError(format!("block: {named}.{CLAIM_BYTE}:{CLAIM_PORT}: {e}"));
         AddressBlock::bind(second, third).map_err(taken)
     }
 
-    /// Guards against two processes that search at the same time: each begins at a place of its own.
+    /// Claims the first free block. Each process starts its search at a block that depends on its
+    /// id, so that processes which search at the same time rarely try the same block.
     fn claim_free() -> Result<AddressBlock, LabError> {
         let first = std::process::id() as usize;
         let mut numbers = (0..BLOCKS).map(|i| (first * 7 + i) % BLOCKS);
@@ -82,7 +86,7 @@
         })
     }
 
-    /// The block as part of a file's name.
+    /// Returns the name of the block for use in a file name.
     pub fn name(&self) -> String {
         format!("{}-{}", self.second, self.third)
     }
@@ -91,22 +95,22 @@
         address([127, self.second, self.third, node as u8 + 1], port)
     }
 
-    /// Where clients reach a node.
+    /// Returns the address on which a node listens for clients.
     pub fn clients(&self, node: usize) -> SocketAddr {
         self.node(node, CLIENT_PORT)
     }
 
-    /// Where operators reach a node.
+    /// Returns the address on which a node listens for operators.
     pub fn admin(&self, node: usize) -> SocketAddr {
         self.node(node, ADMIN_PORT)
     }
 
-    /// Where a node listens for its peers.
+    /// Returns the address on which a node listens for its peers.
     pub fn peer(&self, node: usize) -> SocketAddr {
         self.node(node, PEER_PORT)
     }
 
-    /// Where a node reaches a server.
+    /// Returns the address at which a node reaches a server.
     pub fn server(&self, node: usize, server: usize) -> SocketAddr {
         address(
             [127, self.second, self.third + 1, node as u8 + 1],
@@ -114,7 +118,7 @@
         )
     }
 
-    /// Where a node reaches discovery.
+    /// Returns the address at which a node reaches discovery.
     pub fn discovery(&self, node: usize) -> SocketAddr {
         address(
             [127, self.second, self.third + 1, node as u8 + 1],
@@ -122,7 +126,7 @@
         )
     }
 
-    /// Where a node reaches another.
+    /// Returns the address at which a node reaches another node.
     pub fn peer_as_seen_by(&self, node: usize, other: usize) -> SocketAddr {
         address(
             [127, self.second, self.third + 2, node as u8 + 1],
--- a/crates/lab/src/fleet/configuration.rs
+++ b/crates/lab/src/fleet/configuration.rs
@@ -1,8 +1,9 @@
-//! The configuration file of each node: the rig's own addresses and settings, with the plan's laid over them.
+//! The configuration file of each node: the addresses and settings of the rig, with those of the
+//! plan merged over them.
 use super::addresses::AddressBlock;
 use super::plan::Plan;
 
-/// What a node is given, as the platform gives it.
+/// Returns the configuration of a node, in the form in which the platform provides it.
 pub fn configuration(
     plan: &Plan,
     block: &AddressBlock,
@@ -25,14 +26,14 @@
     config
 }
 
-/// Merges `over` into `under`: objects key by key, any other value as a whole.
-fn merge(under: &mut serde_json::Value, over: &serde_json::Value) {
-    match (under, over) {
-        (serde_json::Value::Object(under), serde_json::Value::Object(over)) => {
-            for (key, value) in over {
-                merge(under.entry(key).or_insert(serde_json::Value::Null), value);
+/// Merges `overlay` into `base`: objects key by key; any other value replaces that of `base`.
+fn merge(base: &mut serde_json::Value, overlay: &serde_json::Value) {
+    match (base, overlay) {
+        (serde_json::Value::Object(base), serde_json::Value::Object(overlay)) => {
+            for (key, value) in overlay {
+                merge(base.entry(key).or_insert(serde_json::Value::Null), value);
             }
         }
-        (under, over) => *under = over.clone(),
+        (base, overlay) => *base = overlay.clone(),
     }
 }
--- a/crates/lab/src/fleet/event_log.rs
+++ b/crates/lab/src/fleet/event_log.rs
@@ -1,4 +1,4 @@
-//! A log of what happened when, to which process, and what it says of membership changes.
+//! The event log of a run, and the membership changes that can be read from it.
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -8,23 +8,23 @@
 
 use crate::rule_monitor::RuleMonitor;
 
-/// Events kept; later ones are dropped.
+/// Most events that are kept; later ones are discarded.
 const MAX_EVENTS: usize = 20_000;
 
 /// One event of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Event {
-    /// When it was recorded, in milliseconds from the beginning.
+    /// Time of recording, in milliseconds from the start of the run; negative during the setup.
     pub at_ms: f64,
-    /// The process, or the part of the rig, that it is of.
+    /// The process or the part of the rig that the event concerns.
     #[serde(rename = "who")]
     pub source: String,
-    /// What happened, or what the process logged.
+    /// Description of the event, or the message that the process logged.
     #[serde(rename = "what")]
     pub message: String,
 }
 
-/// Events in the order in which they were recorded.
+/// The events of a run, in the order of recording.
 pub struct EventLog {
     monitor: Rc<RuleMonitor>,
     start: RefCell<Time>,
@@ -32,7 +32,7 @@
 }
 
 impl EventLog {
-    /// An empty log whose times count from now on.
+    /// Creates an empty log whose time starts now.
     pub fn new(monitor: Rc<RuleMonitor>) -> Rc<EventLog> {
         let start = RefCell::new(monitor.now());
         Rc::new(EventLog {
@@ -42,7 +42,7 @@
         })
     }
 
-    /// Times count from now on; what has happened before is before 0.
+    /// Restarts the log's time at 0; the events recorded before get negative times.
     pub fn restart_clock(&self) {
         let now = self.monitor.now();
         let shift_ms = (now - self.start()).0 as f64 / 1000.0;
@@ -53,12 +53,12 @@
         *self.start.borrow_mut() = now;
     }
 
-    /// The time that events count from.
+    /// Returns the monitor's time at the log's time 0.
     pub fn start(&self) -> Time {
         *self.start.borrow()
     }
 
-    /// Records an event at the present time.
+    /// Records an event with the current time.
     pub fn record(&self, source: &str, message: impl Into<String>) {
         let at_ms = (self.monitor.now() - self.start()).0 as f64 / 1000.0;
         let mut events = self.events.borrow_mut();
@@ -71,13 +71,13 @@
         }
     }
 
-    /// The events so far.
+    /// Returns the events recorded so far.
     pub fn events(&self) -> Vec<Event> {
         self.events.borrow().clone()
     }
 }
 
-/// The events as lines of text.
+/// Formats the events as lines of text.
 pub fn format_events(events: &[Event]) -> String {
     let line = |event: &Event| {
         format!(
@@ -90,7 +90,7 @@
     events.iter().map(line).collect()
 }
 
-/// A change of a node's membership state, as another node logs it.
+/// A change of a node's membership state, as logged by another node.
 struct StateChange<'a> {
     node: &'a str,
     from: &'a str,
@@ -98,7 +98,7 @@
 }
 
 impl StateChange<'_> {
-    /// Reads the node's log line "membership: node {node} was {from}, is {to}".
+    /// Parses the node's log line "membership: node {node} was {from}, is {to}".
     fn parse(message: &str) -> Option<StateChange<'_>> {
         let (node, states) = message
             .strip_prefix("membership: node ")?
@@ -107,22 +107,23 @@
         Some(StateChange { node, from, to })
     }
 
-    /// Whether it took the node out of the members or in again; taking it in for the first time does not count.
+    /// Whether the change removed the node from the members or added it again; adding it for the
+    /// first time does not count.
     fn is_membership_change(&self) -> bool {
         let is_member = |state: &str| state.starts_with("alive") || state.starts_with("suspect");
         is_member(self.from) != is_member(self.to) && !self.from.starts_with("absent")
     }
 }
 
-/// The most membership changes of one node by one observer.
+/// The membership changes of one node as logged by one observer.
 pub struct Flapping {
-    /// How often the observer has taken the node out of the members or in again.
+    /// Number of times that the observer removed the node from the members or added it again.
     pub changes: usize,
-    /// The observer, the node and the number in words.
+    /// Observer, node and number of changes, for a verdict line.
     pub description: String,
 }
 
-/// The pair of an observer and a node with the most membership changes.
+/// Returns the pair of an observer and a node with the most membership changes.
 pub fn worst_flapping(events: &[Event]) -> Flapping {
     let mut counts = BTreeMap::<(&str, &str), usize>::new();
     for event in events {
@@ -136,11 +137,11 @@
     match counts.into_iter().max_by_key(|pair| pair.1) {
         Some(((observer, node), changes)) => Flapping {
             changes,
-            description: format!("{observer} has taken node-{node} out or in {changes} times"),
+            description: format!("{observer} removed or re-added node-{node} {changes} times"),
         },
         None => Flapping {
             changes: 0,
-            description: "nobody has taken another out".to_owned(),
+            description: "no node removed another".to_owned(),
         },
     }
 }
--- a/crates/lab/src/fleet/faulty_node.rs
+++ b/crates/lab/src/fleet/faulty_node.rs
@@ -1,5 +1,5 @@
-//! A program in a node's place that breaks one rule on purpose, to show that the rig sees it. It speaks as little of the
-//! protocol as that takes.
+//! A faulty node for tests of the rig: it takes the place of a node and breaks one rule on purpose,
+//! which the rig must detect. It implements only as much of the protocol as that needs.
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::sleep;
 
-/// The rules it can break, and one by which it breaks none.
+/// The misbehaviors to choose from; `good` breaks no rule.
 pub const MISBEHAVIORS: [&str; 9] = [
     "good",
     "answers-twice",
@@ -24,23 +24,25 @@
     "ends-by-itself",
 ];
 
-/// Attempts for one call that overload a cache which warms up.
+/// Number of attempts for one call that overloads a cache which is warming up.
 const FLOOD_ATTEMPTS: usize = 60;
-/// Time until a watch that has ended is opened again.
-const WATCH_RETRY: Duration = Duration::from_millis(100);
-/// How long the node serves before it ends by itself.
-const TIME_TO_END: Duration = Duration::from_millis(1_500);
-/// Time after an answer until one more attempt is sent for its call.
+/// Delay before a watch that has ended is opened again.
+const WATCH_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Time for which the node serves before it exits by itself.
+const EXIT_DELAY: Duration = Duration::from_millis(1_500);
+/// Delay from the response to a call until one more attempt is sent for the call.
 const LATE_ATTEMPT_DELAY: Duration = Duration::from_millis(900);
-/// How long the connection of an attempt that nobody waits for stays open.
+/// Time for which the connection of an attempt whose response is not read stays open.
 const UNREAD_ATTEMPT_TIME: Duration = Duration::from_millis(300);
-const ANSWER: &[u8] = b"$5\r\nvalue\r\n";
-const ERROR: &[u8] = b"-ERR failed\r\n";
+/// Response to a successful call.
+const VALUE_RESPONSE: &[u8] = b"$5\r\nvalue\r\n";
+/// Response to a failed call.
+const ERROR_RESPONSE: &[u8] = b"-ERR failed\r\n";
 
 /// The words of a client's command.
 type CommandWords = Vec<Vec<u8>>;
 
-/// How the node misbehaves and where its servers are.
+/// The misbehavior of the node, and the addresses from its configuration.
 struct Context {
     misbehavior: String,
     listen: SocketAddr,
@@ -63,18 +65,20 @@
         let servers = config["known"]["servers"]
             .as_array()
             .ok_or_else(|| missing("known"))?;
-        let of_kind = |kind: &str| {
+        let addrs_of_kind = |kind: &str| {
             let servers = servers.iter().filter(|server| server["kind"] == *kind);
             servers
                 .filter_map(|server| addr(&server["addr"]))
                 .collect::<Vec<_>>()
         };
-        let origin = *of_kind("origin").first().ok_or_else(|| missing("origin"))?;
+        let origin = *addrs_of_kind("origin")
+            .first()
+            .ok_or_else(|| missing("origin"))?;
         Ok(Context {
             misbehavior: misbehavior.to_owned(),
             listen,
             discovery,
-            caches: of_kind("cache"),
+            caches: addrs_of_kind("cache"),
             origin,
         })
     }
@@ -84,7 +88,7 @@
     }
 }
 
-/// Serves as the configuration says, but for one misbehavior.
+/// Serves on the addresses of the configuration, with the given misbehavior.
 pub fn run(misbehavior: &str, config: &str) -> io::Result<()> {
     let context: &'static Context = Box::leak(Box::new(Context::parse(misbehavior, config)?));
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -98,12 +102,12 @@
     spawn_local(async move {
         loop {
             let _ = watch_list(context.discovery).await;
-            sleep(WATCH_RETRY).await;
+            sleep(WATCH_RETRY_DELAY).await;
         }
     });
     eprintln!("faulty node serves on {}", context.listen);
     if context.misbehavior == "ends-by-itself" {
-        sleep(TIME_TO_END).await;
+        sleep(EXIT_DELAY).await;
         return Ok(());
     }
     loop {
@@ -122,13 +126,13 @@
         match context.misbehavior.as_str() {
             "never-answers" => continue,
             "closes" => return Ok(()),
-            _ => answer(&mut stream, context, words).await?,
+            _ => respond(&mut stream, context, words).await?,
         }
     }
     Ok(())
 }
 
-/// The next command; none at the end of the connection, or where it can't be read.
+/// Reads the next command; returns `None` when the connection ends or the command is malformed.
 async fn read_command(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
@@ -151,8 +155,8 @@
     }
 }
 
-/// Answers one call, but for the misbehavior.
-async fn answer(
+/// Executes a call and responds to it, with the misbehavior.
+async fn respond(
     stream: &mut TcpStream,
     context: &'static Context,
     words: CommandWords,
@@ -165,9 +169,9 @@
             let words = words.clone();
             spawn_local(async move { send_unread(context.cache_of(key), &words).await });
         }
-        return stream.write_all(ANSWER).await;
+        return stream.write_all(VALUE_RESPONSE).await;
     }
-    // Without a look at the list, so that calls still go to servers that drain.
+    // The endpoint list is ignored, so that attempts still go to draining servers.
     let result = match write {
         true => put(context, &words).await,
         false => get(context, key, &words).await,
@@ -175,10 +179,14 @@
     if write && misbehavior == "writes-twice" {
         let _ = put(context, &words).await;
     }
-    let response = if result.is_ok() { ANSWER } else { ERROR };
+    let response = if result.is_ok() {
+        VALUE_RESPONSE
+    } else {
+        ERROR_RESPONSE
+    };
     stream.write_all(response).await?;
     match misbehavior {
-        "answers-twice" => stream.write_all(ERROR).await?,
+        "answers-twice" => stream.write_all(ERROR_RESPONSE).await?,
         "sends-after-answer" if !write => drop(spawn_local(async move {
             sleep(LATE_ATTEMPT_DELAY).await;
             let _ = get(context, key, &words).await;
@@ -188,7 +196,7 @@
     Ok(())
 }
 
-/// Receives every change of the list, and does nothing about it.
+/// Receives all updates of the endpoint list and ignores them.
 async fn watch_list(discovery: SocketAddr) -> io::Result<()> {
     let mut stream = TcpStream::connect(discovery).await?;
     stream
@@ -205,7 +213,7 @@
     bytes
 }
 
-/// Sends an attempt, and waits for no answer.
+/// Sends an attempt without waiting for its response.
 async fn send_unread(cache: SocketAddr, words: &[Vec<u8>]) -> io::Result<()> {
     let mut stream = TcpStream::connect(cache).await?;
     stream.write_all(&command_bytes(words)).await?;
--- a/crates/lab/src/fleet/outcome.rs
+++ b/crates/lab/src/fleet/outcome.rs
@@ -1,4 +1,5 @@
-//! The outcome of a run: its figures as a table, a row or a JSON record, and the files that keep them.
+//! The outcome of a run: its figures as a table, a table row or a JSON record, and the files with
+//! the results.
 use std::path::{Path, PathBuf};
 
 use serde::Serialize;
@@ -11,51 +12,51 @@
 use crate::scenario::LabError;
 use crate::stats::{Counts, Report};
 
-/// Characters of an API call's history that are printed.
+/// Most characters of an API call's history that are printed.
 const MAX_HISTORY: usize = 1_500;
 
-/// Number of datagrams between nodes.
+/// Numbers of datagrams between nodes.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct DatagramCounts {
-    /// Datagrams that nodes sent.
+    /// Number of datagrams that nodes sent.
     pub sent: u64,
-    /// Datagrams that arrived; one that is duplicated arrives twice.
+    /// Number of datagrams that arrived; a duplicated datagram counts twice.
     pub arrived: u64,
 }
 
-/// What a run has shown.
+/// The results of a run.
 pub struct Outcome {
-    /// What clients got.
+    /// Statistics of the clients' API calls.
     pub report: Report,
-    /// Broken rules with the API call's history; of many the first.
-    pub broken: Vec<Violation>,
-    /// Number of times that a rule was broken.
-    pub broken_count: u64,
-    /// What happened when, to which process.
+    /// The first violations of each rule, with the history of the API call concerned.
+    pub violations: Vec<Violation>,
+    /// Number of all violations.
+    pub violation_count: u64,
+    /// The event log.
     pub events: Vec<Event>,
-    /// When each fault was at work.
+    /// Period of each fault.
     pub fault_periods: Vec<FaultPeriod>,
     /// Number of processes that serve at the end.
     pub nodes_up: usize,
     /// Number of nodes.
     pub nodes: usize,
-    /// Attempts that caches had the value for.
+    /// Number of attempts to caches that were hits.
     pub hits: u64,
-    /// Attempts that caches did not have the value for.
+    /// Number of attempts to caches that were misses.
     pub misses: u64,
-    /// Attempts to the origin.
+    /// Number of attempts to the origin.
     pub origin_attempts: u64,
-    /// How often a server went down under too many attempts.
+    /// Number of times that a server failed because of too many attempts.
     pub overloads: u64,
-    /// Attempts to the origin by the second.
+    /// Number of attempts to the origin in each second.
     pub origin_attempts_by_second: Vec<u64>,
-    /// Datagrams between nodes.
+    /// Numbers of datagrams between nodes.
     pub datagrams: DatagramCounts,
-    /// The rig's own greatest lateness, in seconds.
+    /// Greatest lateness of the rig's own checks, in seconds.
     pub max_lateness_s: f64,
-    /// When each server was last sent an attempt, in seconds from the beginning.
+    /// Time of the last attempt to each server, in seconds from the start of the run.
     pub last_attempts: Vec<f64>,
-    pub(super) failures: Vec<String>,
+    pub(super) missed_expectations: Vec<String>,
 }
 
 /// A row of the table.
@@ -71,26 +72,28 @@
 }
 
 impl Outcome {
-    /// Broken rules, then missed expectations.
+    /// Describes all failures: first the violations of rules, then the missed expectations.
     pub fn failures(&self) -> Vec<String> {
-        let broken = self.broken.iter().map(|broken| {
-            let history: String = broken.history.chars().take(MAX_HISTORY).collect();
+        let violations = self.violations.iter().map(|violation| {
+            let history: String = violation.history.chars().take(MAX_HISTORY).collect();
             format!(
                 "{:?} broken at {:.1} ms: {}. {history}",
-                broken.rule,
-                broken.at.ms(),
-                broken.what
+                violation.rule,
+                violation.at.ms(),
+                violation.what
             )
         });
-        broken.chain(self.failures.iter().cloned()).collect()
+        violations
+            .chain(self.missed_expectations.iter().cloned())
+            .collect()
     }
 
-    /// The share of the billed value that was served in each second.
+    /// Returns the fraction of the billed value that was served in each second.
     pub fn service_by_second(&self) -> Vec<f64> {
         self.report.windows.iter().map(Counts::service).collect()
     }
 
-    fn worst_second(&self) -> f64 {
+    fn worst_second_service(&self) -> f64 {
         self.service_by_second().into_iter().fold(1.0, f64::min)
     }
 
@@ -102,7 +105,7 @@
             .unwrap_or(0)
     }
 
-    /// The figures in a table.
+    /// Formats the figures as a table.
     pub fn table(&self) -> String {
         self.client_rows()
             .into_iter()
@@ -136,7 +139,7 @@
                     "{:.4}, {:.4}, {:.4}",
                     all.service(),
                     self.report.worst_service(),
-                    self.worst_second()
+                    self.worst_second_service()
                 ),
             ),
             Row::new(
@@ -169,7 +172,7 @@
                 "processes up at the end",
                 format!("{} of {}", self.nodes_up, self.nodes),
             ),
-            Row::new("rules broken", self.broken_count.to_string()),
+            Row::new("rules broken", self.violation_count.to_string()),
             Row::new(
                 "the rig's own greatest lateness",
                 format!("{:.0} ms", self.max_lateness_s * 1000.0),
@@ -181,7 +184,7 @@
         self.report.latency.value_at_quantile(quantile) as f64 / 1000.0
     }
 
-    /// The heading of rows.
+    /// Returns the heading for `summary_row`.
     pub fn summary_heading() -> String {
         let names = [
             "service",
@@ -198,13 +201,17 @@
         format!("{:<16}{}", "play", names.concat())
     }
 
-    /// The table's main figures in a row, for several runs beside one another.
+    /// Formats the main figures as one row, to compare several runs.
     pub fn summary_row(&self, name: &str) -> String {
         let all = &self.report.all;
-        let worst_second = self.worst_second();
+        let worst_second_service = self.worst_second_service();
         let origin_peak = self.origin_peak();
-        let figures = [all.service(), self.report.worst_service(), worst_second]
-            .map(|figure| format!("{figure:>10.4}"));
+        let figures = [
+            all.service(),
+            self.report.worst_service(),
+            worst_second_service,
+        ]
+        .map(|figure| format!("{figure:>10.4}"));
         let p99 = self.latency_ms(0.99);
         let lost = all.gave_up + all.closed + all.never_taken;
         let counts = [
@@ -212,7 +219,7 @@
             origin_peak,
             self.overloads,
             lost,
-            self.broken_count,
+            self.violation_count,
         ]
         .map(|count| format!("{count:>10}"));
         format!(
@@ -222,7 +229,7 @@
         )
     }
 
-    /// Everything but the histories of single API calls, as JSON.
+    /// Returns all results as JSON; of the histories of API calls, only those of failures.
     pub fn record(&self, plan: &Plan) -> serde_json::Value {
         #[derive(Serialize)]
         struct Second {
@@ -256,18 +263,19 @@
             "late": all.late, "rate_limited": all.rate_limited, "errored": all.errored, "no_answer": all.gave_up,
             "closed": all.closed, "never_taken": all.never_taken, "hits": self.hits, "misses": self.misses,
             "origin_attempts": self.origin_attempts, "fell": self.overloads, "up": self.nodes_up, "datagrams": self.datagrams.sent,
-            "rules_broken": self.broken_count, "failures": self.failures(), "rig_late_s": self.max_lateness_s,
+            "rules_broken": self.violation_count, "failures": self.failures(), "rig_late_s": self.max_lateness_s,
         })
     }
 
-    /// Keeps the record, the event log as text and drawn.
+    /// Writes the JSON record, the event log as text, and the timeline plot; returns the files.
     pub fn write_files(
         &self,
         plan: &Plan,
         folder: &Path,
         name: &str,
     ) -> Result<Vec<PathBuf>, LabError> {
-        let files = ["json", "txt", "svg"].map(|kind| folder.join(format!("{name}.{kind}")));
+        let files =
+            ["json", "txt", "svg"].map(|extension| folder.join(format!("{name}.{extension}")));
         let [record, events, timeline] = &files;
         write(record, &self.record(plan).to_string())?;
         write(events, &event_log::format_events(&self.events))?;
--- a/crates/lab/src/fleet/rig/verdict.rs
+++ b/crates/lab/src/fleet/rig/verdict.rs
@@ -144,13 +144,13 @@
     }
 
     pub(super) fn outcome(&self, report: Report, views: &MembershipViews) -> Outcome {
-        let (broken, broken_count) = self.monitor.verdict();
+        let (violations, violation_count) = self.monitor.verdict();
         let start = self.event_log.start();
         let seconds_since_start = |at: &Time| (*at - start).seconds();
         Outcome {
-            failures: self.missed_expectations(&report, views),
-            broken,
-            broken_count,
+            missed_expectations: self.missed_expectations(&report, views),
+            violations,
+            violation_count,
             events: self.event_log.events(),
             fault_periods: self.fault_periods(),
             nodes_up: self.nodes_up().len(),
--- a/crates/lab/src/fleet/timeline.rs
+++ b/crates/lab/src/fleet/timeline.rs
@@ -1,4 +1,4 @@
-//! A drawing of a run: service by the second above, the times of faults below.
+//! A plot of a run: the service in each second, and below it the period of each fault.
 use std::error::Error;
 use std::path::Path;
 
@@ -8,37 +8,37 @@
 
 use crate::scenario::LabError;
 
-/// Width of a drawing, in pixels.
+/// Width of the plot, in pixels.
 const WIDTH: u32 = 900;
-/// Height of the chart of the service, in pixels.
+/// Height of the service chart, in pixels.
 const CHART_HEIGHT: u32 = 250;
-/// Height below the chart without any fault, in pixels.
+/// Height below the chart in addition to the rows of the faults, in pixels.
 const MARGIN_HEIGHT: u32 = 10;
 /// Height of a fault's row, in pixels.
 const ROW_HEIGHT: u32 = 26;
 /// Height of a fault's bar, in pixels.
 const BAR_HEIGHT: i32 = 14;
-/// Least width of a fault's bar, in pixels.
+/// Minimum width of a fault's bar, in pixels.
 const MIN_BAR_WIDTH: i32 = 3;
-/// Where the chart's time axis begins, in pixels.
+/// Distance of the chart's time axis from the left edge of the plot, in pixels.
 const AXIS_LEFT: i32 = 58;
 /// Length of the chart's time axis, in pixels.
 const AXIS_WIDTH: f64 = 834.0;
 
 type DrawResult<'a> = Result<(), Box<dyn Error + 'a>>;
 
-/// When a fault was at work.
+/// The period in which a fault was active.
 #[derive(Debug, Clone, Serialize)]
 pub struct FaultPeriod {
-    /// The fault's kind.
+    /// Kind of the fault.
     pub name: String,
-    /// Its beginning, in seconds from the beginning of the run.
+    /// Start of the fault, in seconds from the start of the run.
     pub from: f64,
-    /// Its end, in seconds from the beginning of the run.
+    /// End of the fault, in seconds from the start of the run.
     pub to: f64,
 }
 
-/// Draws the share of the value served in each second, and the faults.
+/// Draws the fraction of the billed value that was served in each second, and the faults.
 pub fn draw(
     file: &Path,
     title: &str,
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -1,18 +1,18 @@
-//! Several processes of the program, with faults between them; and programs that break a rule, to show that it is seen.
-//! Expectations are on events and counts and on generous bounds, never on a sharp time.
+//! Tests of several node processes under faults, and of the detection of faulty nodes by the rig.
+//! Assertions are on events, counts and generous bounds, never on exact times.
 mod common;
 
-use common::{assert_holds, lab, plan, programs};
+use common::{assert_holds, example_plan, lab_program, programs};
 use quartzhub_lab::fleet::event_log::Event;
 use quartzhub_lab::fleet::{play, Outcome, Plan, Programs};
 use quartzhub_lab::rules::Rule;
 
-/// A program that breaks a rule, in the node's place.
-fn faulty(misbehavior: &str) -> Programs {
+/// Returns programs with a faulty node, which breaks a rule, in place of the node.
+fn faulty_programs(misbehavior: &str) -> Programs {
     Programs {
-        node: lab(),
+        node: lab_program(),
         args: vec!["faulty-node".into(), misbehavior.into()],
-        lab: lab(),
+        lab: lab_program(),
     }
 }
 
@@ -21,8 +21,8 @@
 }
 
 #[test]
-fn one_node_of_three_is_killed_and_comes_back() {
-    let outcome = assert_holds(&plan("kill.toml"));
+fn killed_node_of_three_serves_again_after_restart() {
+    let outcome = assert_holds(&example_plan("kill.toml"));
     let count = |text: &str| {
         outcome
             .events
@@ -34,20 +34,20 @@
 }
 
 #[test]
-fn paused_nodes_rejoin_and_have_removed_nobody() {
-    assert_holds(&plan("members-pause.toml"));
+fn paused_nodes_rejoin_and_remove_no_node() {
+    assert_holds(&example_plan("members-pause.toml"));
 }
 
 #[test]
-fn with_a_fifth_of_datagrams_lost_exactly_the_two_killed_nodes_are_removed() {
-    assert_holds(&plan("members-loss.toml"));
+fn only_killed_nodes_are_removed_at_20_percent_datagram_loss() {
+    assert_holds(&example_plan("members-loss.toml"));
 }
 
 #[test]
-fn a_drain_override_reaches_every_node_and_no_older_version_undoes_it() {
-    let outcome = assert_holds(&plan("members-order.toml"));
+fn drain_override_reaches_all_nodes_and_survives_replay() {
+    let outcome = assert_holds(&example_plan("members-order.toml"));
     let last = |cache: usize| outcome.last_attempts[cache];
-    // Drained at 7 s for good; drained from 5 to 13 s; never.
+    // cache-4 is drained from 7 s to the end, cache-2 from 5 to 13 s, and cache-0 never.
     assert!(
         last(4) < 10.0,
         "cache-4 was sent an attempt at {:.1} s",
@@ -55,47 +55,49 @@
     );
     assert!(
         last(2) > 16.0 && last(0) > 16.0,
-        "no attempt since {:.1} and {:.1} s",
+        "the last attempts to cache-2 and cache-0 were at {:.1} and {:.1} s",
         last(2),
         last(0)
     );
-    assert_eq!(drained_again(&outcome), 0);
+    assert_eq!(drained_again_count(&outcome), 0);
 }
 
-/// Whether a node has removed this one, which it suspected.
+/// Whether any node has removed this node after suspecting it.
 fn has_removal(outcome: &Outcome, node: &str) -> bool {
     let removal = format!("membership: node {node} was suspect, is gone");
     has_event(outcome, |event| event.message.starts_with(&removal))
 }
 
-/// How often a node took the first cache for drained once more, a second after all had heard that it is not.
-fn drained_again(outcome: &Outcome) -> usize {
-    let again = |event: &&Event| {
+/// Counts how often a node again took cache-2 as drained, later than 1 s after its drain override
+/// was cleared at all nodes.
+fn drained_again_count(outcome: &Outcome) -> usize {
+    let drained_again = |event: &&Event| {
         event.at_ms > 14_000.0 && event.message.contains("servers drained by operators: 2")
     };
-    outcome.events.iter().filter(again).count()
+    outcome.events.iter().filter(drained_again).count()
 }
 
 #[test]
-fn one_sided_partitions_remove_no_node_that_is_heard() {
-    let outcome = assert_holds(&plan("members-one-sided.toml"));
+fn one_way_partition_removes_only_the_silenced_node() {
+    let outcome = assert_holds(&example_plan("members-one-sided.toml"));
     let removed = |node: &str| has_removal(&outcome, node);
-    // Node 1 and 2 are reached round the cut; node 4 hears nobody, but is heard; node 7 is heard by nobody.
+    // Nodes 1 and 2 reach each other through other nodes. Node 4 receives nothing, but the others
+    // receive its datagrams. Nobody receives the datagrams of node 7.
     assert!(!removed("1") && !removed("2") && !removed("4") && removed("7"));
-    let alone = |node: &str| {
+    let detects_isolation = |node: &str| {
         has_event(&outcome, |event| {
             event.source == node && event.message.contains("nobody answers")
         })
     };
     assert!(
-        alone("node-4") && alone("node-7") && !alone("node-1"),
-        "the two that are cut off know it, and they alone"
+        detects_isolation("node-4") && detects_isolation("node-7") && !detects_isolation("node-1"),
+        "nodes 4 and 7 must detect their isolation, and node 1 must detect none"
     );
 }
 
 #[test]
-fn a_third_of_the_fleet_that_is_not_heard_removes_no_other_node() {
-    let outcome = assert_holds(&plan("members-third.toml"));
+fn nodes_with_outbound_partition_remove_no_other_node() {
+    let outcome = assert_holds(&example_plan("members-third.toml"));
     let third = ["node-0", "node-1", "node-2", "node-3"];
     let by_third = outcome.events.iter().filter(|event| {
         third.contains(&event.source.as_str()) && event.message.contains("is gone")
@@ -104,35 +106,36 @@
 }
 
 #[test]
-fn membership_views_agree_again_after_a_partition_of_a_minute() {
-    assert_holds(&plan("members-partition.toml"));
+fn membership_views_agree_again_after_one_minute_partition() {
+    assert_holds(&example_plan("members-partition.toml"));
 }
 
 #[test]
-fn a_new_incarnation_supersedes_the_former_whose_datagrams_are_replayed() {
-    assert_holds(&plan("members-lives.toml"));
+fn new_incarnation_supersedes_replayed_previous_one() {
+    assert_holds(&example_plan("members-lives.toml"));
 }
 
 #[test]
-fn a_rolling_restart_under_load_removes_no_node_and_loses_no_call() {
-    let outcome = assert_holds(&plan("members-roll.toml"));
+fn rolling_restart_under_load_removes_no_node_and_loses_no_call() {
+    let outcome = assert_holds(&example_plan("members-roll.toml"));
     assert!(
         !has_event(&outcome, |event| event.message.contains("is gone")),
-        "a planned end is no failure"
+        "a node was removed because of a graceful shutdown"
     );
 }
 
 #[test]
-fn many_nodes_join_at_once_and_others_leave() {
-    assert_holds(&plan("members-join.toml"));
+fn membership_follows_simultaneous_joins_and_shutdowns() {
+    assert_holds(&example_plan("members-join.toml"));
 }
 
 #[test]
-fn a_flood_of_malformed_datagrams_harms_neither_membership_nor_service() {
-    assert_holds(&plan("members-flood.toml"));
+fn datagram_flood_harms_neither_membership_nor_service() {
+    assert_holds(&example_plan("members-flood.toml"));
 }
 
-/// A short plan in which every misbehavior has its occasion: a drain, cold caches, writes that run at most once.
+/// A short plan with the conditions that the misbehaviors need: a drain, cold caches, and writes
+/// that may run at most once.
 const MISBEHAVIOR_PLAN: &str = r#"
 [scenario]
 nodes = 2
@@ -176,67 +179,67 @@
 at = 8.5
 "#;
 
-/// A way to break a rule on purpose.
+/// A misbehavior of the faulty node, and the violation that the rig must report for it.
 struct Misbehavior {
     name: &'static str,
     rule: Rule,
-    /// A part of the violation's text.
-    violation: &'static str,
+    /// Part of the text of the violation.
+    violation_text: &'static str,
 }
 
 const MISBEHAVIORS: [Misbehavior; 8] = [
     Misbehavior {
         name: "answers-twice",
         rule: Rule::OneAnswer,
-        violation: "a second final answer",
+        violation_text: "a second final answer",
     },
     Misbehavior {
         name: "never-answers",
         rule: Rule::OneAnswer,
-        violation: "no final answer",
+        violation_text: "no final answer",
     },
     Misbehavior {
         name: "closes",
         rule: Rule::OneAnswer,
-        violation: "ended with no answer",
+        violation_text: "ended with no answer",
     },
     Misbehavior {
         name: "sends-after-answer",
         rule: Rule::OneAnswer,
-        violation: "an attempt was sent for an API call that has its answer",
+        violation_text: "an attempt was sent for an API call that has its answer",
     },
     Misbehavior {
         name: "writes-twice",
         rule: Rule::NoEffectTwice,
-        violation: "begun twice",
+        violation_text: "begun twice",
     },
     Misbehavior {
         name: "goes-on-to-drained",
         rule: Rule::Drains,
-        violation: "known to drain",
+        violation_text: "known to drain",
     },
     Misbehavior {
         name: "floods-cold",
         rule: Rule::ColdServers,
-        violation: "pushed over while cold",
+        violation_text: "pushed over while cold",
     },
     Misbehavior {
         name: "ends-by-itself",
         rule: Rule::Platform,
-        violation: "exited by itself",
+        violation_text: "exited by itself",
     },
 ];
 
 #[test]
-fn each_rule_is_seen_to_be_broken_by_a_program_that_breaks_it() {
+fn each_misbehavior_is_detected_as_violation_of_its_rule() {
     let plan = Plan::parse(MISBEHAVIOR_PLAN).expect("a plan");
-    // Side by side: each waits for its clients most of the time.
+    // The runs are concurrent, because each is idle most of the time.
     let outcomes: Vec<_> = std::thread::scope(|scope| {
         let runs: Vec<_> = MISBEHAVIORS
             .iter()
             .map(|misbehavior| {
                 let plan = &plan;
-                scope.spawn(move || play(plan, &faulty(misbehavior.name), None))
+                scope.spawn(move || play(plan, &faulty_programs(misbehavior.name), None))
             })
             .collect();
         runs.into_iter()
@@ -247,47 +250,47 @@
         let Misbehavior {
             name,
             rule,
-            violation,
+            violation_text,
         } = misbehavior;
-        let seen = outcome
-            .broken
+        let detected = outcome
+            .violations
             .iter()
-            .find(|broken| broken.rule == *rule && broken.what.contains(violation));
-        assert!(seen.is_some(), "{name}: {:?}", outcome.failures());
-        let seen = seen
-            .map(|seen| seen.history.contains("Taken"))
+            .find(|violation| violation.rule == *rule && violation.what.contains(violation_text));
+        assert!(detected.is_some(), "{name}: {:?}", outcome.failures());
+        let has_history = detected
+            .map(|violation| violation.history.contains("Taken"))
             .unwrap_or_default();
         assert!(
-            seen || matches!(rule, Rule::Platform | Rule::ColdServers),
+            has_history || matches!(rule, Rule::Platform | Rule::ColdServers),
             "{name}: no history"
         );
     }
 }
 
-/// The same plan with a part of the detector left out at every node; what is then not as it must be.
-fn without(name: &str, part: &str) -> Outcome {
-    let mut plan = plan(name);
+/// Plays an example plan with one part of the failure detector disabled at every node.
+fn play_without(name: &str, part: &str) -> Outcome {
+    let mut plan = example_plan(name);
     plan.config["membership_without"] = serde_json::json!([part]);
     play(&plan, &programs(), None).expect("played")
 }
 
 #[test]
-fn without_versions_a_replayed_drain_override_drains_once_more() {
-    let outcome = without("members-order.toml", "versions");
+fn replayed_drain_override_drains_again_without_versions() {
+    let outcome = play_without("members-order.toml", "versions");
     assert!(
-        drained_again(&outcome) > 0,
-        "broken on purpose, and not seen"
+        drained_again_count(&outcome) > 0,
+        "no cache was drained again without versions"
     );
 }
 
 #[test]
-fn without_refutation_paused_nodes_do_not_rejoin() {
-    let failures = without("members-pause.toml", "refutation").failures();
-    assert!(!failures.is_empty(), "broken on purpose, and not seen");
+fn paused_nodes_do_not_rejoin_without_refutation() {
+    let failures = play_without("members-pause.toml", "refutation").failures();
+    assert!(!failures.is_empty(), "no expectation was missed");
 }
 
 #[test]
-fn without_vouching_a_node_that_is_heard_is_removed() {
-    let outcome = without("members-one-sided.toml", "vouching");
-    assert!(has_removal(&outcome, "4"), "broken, and not seen");
+fn node_with_inbound_partition_is_removed_without_vouching() {
+    let outcome = play_without("members-one-sided.toml", "vouching");
+    assert!(has_removal(&outcome, "4"), "node 4 was not removed");
 }
