--- a/crates/lab/src/fleet/process.rs
+++ b/crates/lab/src/fleet/process.rs
@@ -232,7 +232,7 @@
             .is_some_and(|pid| kill_process(pid, signal).is_ok())
     }
 
-    /// Kills the process with SIGKILL. Its open API calls are lost and excused by the rule monitor.
+    /// Kills the process with SIGKILL. Its open API calls are lost; the rules exempt them.
     pub fn kill(&self) {
         self.exit_expected.set(true);
         self.monitor.excuse(self.spec.node);
@@ -265,8 +265,8 @@
     /// Resumes a paused process with SIGCONT.
     pub fn resume(&self) {
         if self.state.get() == ProcessState::Paused && self.signal(Signal::CONT) {
-            // API calls taken during the pause stay excused: the process could not see them in
-            // time.
+            // API calls accepted during the pause stay exempt from the rules: the process could
+            // not see them in time.
             self.monitor.resume(self.spec.node);
             self.record("resumed");
             self.set_state(ProcessState::Up);
