--- a/crates/coordination/src/load_reports/mod.rs
+++ b/crates/coordination/src/load_reports/mod.rs
@@ -100,7 +100,7 @@
             sequence: self.sequence,
             age_ms: 0,
             in_flight_hundredths: hundredths(self.own_load.mean_in_flight),
-            answers_hundredths: hundredths(self.own_load.answers_per_second),
+            answers_hundredths: hundredths(self.own_load.responses_per_second),
         };
         self.known[self.me.index()] = Some(KnownReport {
             report,
--- a/crates/coordination/tests/load_reports.rs
+++ b/crates/coordination/tests/load_reports.rs
@@ -17,7 +17,7 @@
                 at,
                 NodeLoad {
                     mean_in_flight: 2.0,
-                    answers_per_second: 20.0,
+                    responses_per_second: 20.0,
                 },
             )
         });
@@ -25,7 +25,7 @@
             0,
             NodeLoad {
                 mean_in_flight: 1e6,
-                answers_per_second: 0.0,
+                responses_per_second: 0.0,
             },
         );
         network.run_for(Span::ms(3_000), |_| ());
--- a/crates/coordination/tests/mixed_versions.rs
+++ b/crates/coordination/tests/mixed_versions.rs
@@ -11,7 +11,7 @@
     coordinator.start(Time(0));
     coordinator.set_own_load(NodeLoad {
         mean_in_flight: 1.0,
-        answers_per_second: 1.0,
+        responses_per_second: 1.0,
     });
     coordinator.tick(Time(1_000_000), 1, &[NodeId(0)], &mut sent);
     let mut membership = quartzhub_membership::Membership::new(
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -152,7 +152,7 @@
             median_latency_ms: self.outliers.median_micros / 1000.0,
             origin_limit: self.origin.limiter.limit,
             fleet_success_ratio: self.outliers.fleet_success_ratio,
-            answers_per_second: self.cache_load.responses_per_second,
+            responses_per_second: self.cache_load.responses_per_second,
             moving_average,
         }
     }
@@ -161,7 +161,7 @@
     pub fn load(&self) -> NodeLoad {
         NodeLoad {
             mean_in_flight: self.cache_load.mean_in_flight,
-            answers_per_second: self.cache_load.responses_per_second,
+            responses_per_second: self.cache_load.responses_per_second,
         }
     }
 
--- a/crates/policy/src/diagnostics.rs
+++ b/crates/policy/src/diagnostics.rs
@@ -10,7 +10,7 @@
     /// Fraction of attempts at caches that succeed.
     pub fleet_success_ratio: f64,
     /// Responses per second from caches.
-    pub answers_per_second: f64,
+    pub responses_per_second: f64,
     /// The server's moving average of key positions; NaN for an unknown server.
     pub moving_average: f64,
 }
@@ -21,5 +21,5 @@
     /// Mean number of attempts in flight at caches that are no outliers.
     pub mean_in_flight: f64,
     /// Responses per second from caches.
-    pub answers_per_second: f64,
+    pub responses_per_second: f64,
 }
--- a/crates/policy/tests/decisions/reconfigure.rs
+++ b/crates/policy/tests/decisions/reconfigure.rs
@@ -29,7 +29,7 @@
             median_latency_ms: median,
             origin_limit: limit,
             fleet_success_ratio: success,
-            answers_per_second: response_rate,
+            responses_per_second: response_rate,
             moving_average: position,
         } = node.balancer.diagnostics(ServerIndex(1));
         let outlier_count = node.balancer.outlier_count(node.time());
