--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -43,7 +43,7 @@
     pub(crate) origin_kind: Option<u32>,
     pub(crate) max_retry_after: Option<Span>,
     /// Whether a server that was delisted without having drained may still be used.
-    pub(crate) dropped_endpoints_stay_usable: bool,
+    pub(crate) delisted_endpoints_stay_usable: bool,
     pub(crate) deadline_drift: Span,
     pub(crate) start_time_skew: Span,
     pub(crate) rng: Pcg,
@@ -92,7 +92,7 @@
         self.cache_aside = config.cache_aside;
         self.origin_kind = config.origin_kind;
         self.max_retry_after = config.max_retry_after;
-        self.dropped_endpoints_stay_usable = config.dropped_endpoints_stay_usable;
+        self.delisted_endpoints_stay_usable = config.delisted_endpoints_stay_usable;
         self.deadline_drift = config.deadline_drift;
         self.start_time_skew = config.start_time_skew;
         self.admission.configure(config);
--- a/crates/policy/src/config.rs
+++ b/crates/policy/src/config.rs
@@ -148,7 +148,7 @@
     /// How updates of the endpoint list reach the node.
     pub endpoint_list: EndpointListConfig,
     /// Whether a server that was delisted without having drained may still be used.
-    pub dropped_endpoints_stay_usable: bool,
+    pub delisted_endpoints_stay_usable: bool,
     /// Whether a late response counts as a failure of its key.
     pub late_responses_count_against_keys: bool,
     /// Largest error of a client's stated remaining time, as clocks differ.
@@ -174,7 +174,7 @@
             slow_start: SlowStartConfig::default(),
             keepalive: None,
             endpoint_list: EndpointListConfig::default(),
-            dropped_endpoints_stay_usable: false,
+            delisted_endpoints_stay_usable: false,
             late_responses_count_against_keys: false,
             deadline_drift: Span::ZERO,
             start_time_skew: Span::ZERO,
--- a/crates/policy/src/endpoint.rs
+++ b/crates/policy/src/endpoint.rs
@@ -22,9 +22,9 @@
     /// Returns the state of a server after an update of the list marks it as gone or omits it. If
     /// delisted servers stay usable, a server that was in service remains so: such a list does not
     /// prove that the server has stopped. Only draining ends its use.
-    pub fn after_removal(self, dropped_endpoints_stay_usable: bool) -> EndpointState {
+    pub fn after_removal(self, delisted_endpoints_stay_usable: bool) -> EndpointState {
         match self {
-            EndpointState::Ready if dropped_endpoints_stay_usable => EndpointState::Ready,
+            EndpointState::Ready if delisted_endpoints_stay_usable => EndpointState::Ready,
             _ => EndpointState::Gone,
         }
     }
--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -82,7 +82,7 @@
         self.now = now;
         self.endpoint_list.record_update();
         let removal = Removal {
-            stays_usable: self.dropped_endpoints_stay_usable,
+            stays_usable: self.delisted_endpoints_stay_usable,
             evidence_kept_ratio: self.outliers.delisted_success_ratio,
             now,
         };
--- a/crates/settings/src/policy_config.rs
+++ b/crates/settings/src/policy_config.rs
@@ -40,7 +40,7 @@
                 defaults.endpoint_list.poll_interval,
             ),
         },
-        dropped_endpoints_stay_usable: settings.flag("invariants.dropped_stay_open"),
+        delisted_endpoints_stay_usable: settings.flag("invariants.dropped_stay_open"),
         late_responses_count_against_keys: settings.number("caps.reply_slots", 0.0) > 0.0,
         deadline_drift: settings.span("invariants.deadline_drift", Span::ZERO),
         start_time_skew: settings.span("invariants.stamp_off", Span::ZERO),
