--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -185,7 +185,7 @@
     /// Returns the entry in the policy's terms. A start time of 0 means that the time is unknown.
     pub(crate) fn entry(&self) -> EndpointEntry<'_> {
         EndpointEntry {
-            name: &self.id,
+            id: &self.id,
             zone: self.zone.as_deref(),
             kind: self.kind.as_deref(),
             cell: self.cell,
--- a/crates/lab/src/emulator/nodes.rs
+++ b/crates/lab/src/emulator/nodes.rs
@@ -68,15 +68,15 @@
         let mut endpoints = Vec::with_capacity(updates.len());
         for update in updates {
             let server = update.server;
-            let name = &self.server_names[server];
-            let index = node_state.servers.intern(name);
+            let id = &self.server_names[server];
+            let index = node_state.servers.intern(id);
             let table_len = node_state.servers_by_index.len().max(index.0 + 1);
             node_state.servers_by_index.resize(table_len, 0);
             node_state.servers_by_index[index.0] = server;
             node_state.known_endpoints[server].update(update.state, now);
             let is_origin = server == self.sim.origin();
             let entry = EndpointEntry {
-                name,
+                id,
                 zone: Some("lab"),
                 kind: Some(if is_origin { "origin" } else { "cache" }),
                 cell: Some(0),
--- a/crates/lab/src/routers/baseline.rs
+++ b/crates/lab/src/routers/baseline.rs
@@ -182,7 +182,7 @@
                 let previous = previous.iter().find(|cache| cache.server == server);
                 self.caches.push(CacheState {
                     server,
-                    hash: murmur_finalize(fnv1a(endpoint.name)),
+                    hash: murmur_finalize(fnv1a(endpoint.id)),
                     in_flight: previous.map_or(0, |cache| cache.in_flight),
                 });
             }
--- a/crates/lab/src/routers/pick.rs
+++ b/crates/lab/src/routers/pick.rs
@@ -6,7 +6,7 @@
 pub struct CacheState {
     /// The node's index of the server.
     pub server: ServerIndex,
-    /// Hash of the server's name.
+    /// Hash of the server's id.
     pub hash: u64,
     /// Number of this node's attempts in flight at the cache.
     pub in_flight: u32,
--- a/crates/node/src/reducer/endpoint_events.rs
+++ b/crates/node/src/reducer/endpoint_events.rs
@@ -45,7 +45,7 @@
             // once it is draining, so it gets that state first.
             for state in [EndpointState::Draining, EndpointState::Gone] {
                 let entry = EndpointEntry {
-                    name: &server.id,
+                    id: &server.id,
                     state,
                     ..EndpointEntry::default()
                 };
--- a/crates/node/src/reducer/endpoint_list.rs
+++ b/crates/node/src/reducer/endpoint_list.rs
@@ -157,7 +157,7 @@
     ) -> Endpoint<'a> {
         let is_terminated = entry.state.as_deref() == Some(TERMINATED);
         let named = EndpointEntry {
-            name: &entry.id,
+            id: &entry.id,
             zone: entry.zone.as_deref(),
             kind: entry.kind.as_deref(),
             cell: entry.cell,
--- a/crates/node/src/reducer/listed_endpoint.rs
+++ b/crates/node/src/reducer/listed_endpoint.rs
@@ -39,12 +39,12 @@
     pub(super) fn endpoint<'a>(
         &self,
         server: ServerIndex,
-        name: &'a str,
+        id: &'a str,
         state: EndpointState,
     ) -> Endpoint<'a> {
         Endpoint {
             server,
-            name,
+            id,
             zone: self.zone,
             kind: self.kind,
             cell: self.cell,
--- a/crates/policy/src/endpoint.rs
+++ b/crates/policy/src/endpoint.rs
@@ -36,7 +36,7 @@
     /// The server's index.
     pub server: ServerIndex,
     /// The server's id in the list.
-    pub name: &'a str,
+    pub id: &'a str,
     /// The zone's index in the settings; out of their range if unknown.
     pub zone: u32,
     /// The machine kind's index in the settings; out of their range if unknown.
--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -138,7 +138,7 @@
         // A known server that returns keeps its moving average; only an unknown server gets a new
         // one.
         if !server.is_known() {
-            let position = unit_position(hash(endpoint.name));
+            let position = unit_position(hash(endpoint.id));
             server.initial_position = Some(position);
             server.moving_average = position;
         }
--- a/crates/policy/tests/decisions/common.rs
+++ b/crates/policy/tests/decisions/common.rs
@@ -105,7 +105,7 @@
 
 /// Returns an entry of the endpoint list; servers 0 and 6 are origins.
 pub fn endpoint(server: usize, state: EndpointState, started: Option<f64>) -> Endpoint<'static> {
-    const NAMES: [&str; 8] = [
+    const SERVER_IDS: [&str; 8] = [
         "10.0.0.0:1",
         "10.0.0.1:1",
         "10.0.0.2:1",
@@ -121,7 +121,7 @@
     );
     Endpoint {
         server: ServerIndex(server),
-        name: NAMES[server],
+        id: SERVER_IDS[server],
         zone: 0,
         kind,
         cell: 0,
--- a/crates/policy/tests/decisions/slow_start_restart.rs
+++ b/crates/policy/tests/decisions/slow_start_restart.rs
@@ -4,7 +4,7 @@
 
 use crate::fleet::{max_within_a_second, Fleet};
 
-const NAMES: [&str; 14] = [
+const SERVER_IDS: [&str; 14] = [
     "o", "a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m",
 ];
 /// Number of caches before most of them vanish.
@@ -20,7 +20,7 @@
 fn ready(server: usize, started: Option<f64>) -> Endpoint<'static> {
     Endpoint {
         server: ServerIndex(server),
-        name: NAMES[server],
+        id: SERVER_IDS[server],
         zone: 0,
         kind: u32::from(server == 0),
         cell: 0,
--- a/crates/settings/src/endpoint_entry.rs
+++ b/crates/settings/src/endpoint_entry.rs
@@ -5,7 +5,7 @@
 #[derive(Default)]
 pub struct EndpointEntry<'a> {
     /// The server's id.
-    pub name: &'a str,
+    pub id: &'a str,
     /// Its zone's name.
     pub zone: Option<&'a str>,
     /// The name of its machine kind.
--- a/crates/settings/src/name_table.rs
+++ b/crates/settings/src/name_table.rs
@@ -64,7 +64,7 @@
     pub fn endpoint<'a>(&self, server: ServerIndex, entry: EndpointEntry<'a>) -> Endpoint<'a> {
         Endpoint {
             server,
-            name: entry.name,
+            id: entry.id,
             zone: index_of(&self.zones, entry.zone) as u32,
             kind: index_of(&self.kinds, entry.kind) as u32,
             cell: entry.cell.unwrap_or(u32::MAX),
