--- a/crates/coordination/src/limits.rs
+++ b/crates/coordination/src/config.rs
@@ -3,7 +3,7 @@
 
 /// Parameters of load reports and leases.
 #[derive(Debug, Clone)]
-pub struct Limits {
+pub struct CoordinationConfig {
     /// Interval between datagrams of reports. The receiver of each one responds with its own
     /// reports, so that random selection leaves no node without reports. In all, a node sends four
     /// or five datagrams of reports per second, regardless of the size of the fleet.
@@ -44,9 +44,9 @@
     pub datagram_burst: f64,
 }
 
-impl Default for Limits {
-    fn default() -> Limits {
-        Limits {
+impl Default for CoordinationConfig {
+    fn default() -> CoordinationConfig {
+        CoordinationConfig {
             report_interval: Span::ms(400),
             report_half_life: Span::ms(1_000),
             max_report_age: Span::ms(3_000),
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -6,12 +6,12 @@
 use crate::leases::{LeaseMessage, Leases};
 use crate::load_reports::{FleetLoad, LoadReports};
 use crate::wire::{self, Entry, Head};
-use crate::Limits;
+use crate::CoordinationConfig;
 
 /// The load reports and leases of one node.
 pub struct Coordinator {
     me: NodeId,
-    limits: Limits,
+    config: CoordinationConfig,
     rng: Pcg,
     endpoint: DatagramEndpoint,
     reports: LoadReports,
@@ -22,7 +22,13 @@
 impl Coordinator {
     /// Creates the state machine of node `me`. `nodes` is the number of configured nodes, including
     /// this one.
-    pub fn new(me: NodeId, nodes: usize, fleet: u32, seed: u64, limits: Limits) -> Coordinator {
+    pub fn new(
+        me: NodeId,
+        nodes: usize,
+        fleet: u32,
+        seed: u64,
+        config: CoordinationConfig,
+    ) -> Coordinator {
         let mut rng = Pcg::new(seed);
         // A random first round: a delayed grant to an earlier process of this node must not match a
         // round of this process.
@@ -32,17 +38,17 @@
             fleet,
             me,
             nodes,
-            datagrams_per_second: limits.datagrams_per_second,
-            datagram_burst: limits.datagram_burst,
+            datagrams_per_second: config.datagrams_per_second,
+            datagram_burst: config.datagram_burst,
         });
         Coordinator {
             me,
             rng,
             endpoint,
-            reports: LoadReports::new(me, nodes, &limits),
-            leases: Leases::new(me, nodes, first_round, &limits),
+            reports: LoadReports::new(me, nodes, &config),
+            leases: Leases::new(me, nodes, first_round, &config),
             next_report: Time(0),
-            limits,
+            config,
         }
     }
 
@@ -50,7 +56,7 @@
     /// the same time do not report in lockstep.
     pub fn start(&mut self, now: Time) {
         self.leases.start(now);
-        self.next_report = now + self.limits.report_interval.times(self.rng.unit());
+        self.next_report = now + self.config.report_interval.times(self.rng.unit());
     }
 
     /// Sets this node's own current load.
@@ -99,7 +105,7 @@
         if now < self.next_report {
             return;
         }
-        self.next_report = now + self.limits.report_interval;
+        self.next_report = now + self.config.report_interval;
         self.reports.record_own(now, incarnation);
         let chosen = (self.rng.unit() * others.len() as f64) as usize;
         if let Some(to) = others.get(chosen) {
--- a/crates/coordination/src/leases/lease_grantor.rs
+++ b/crates/coordination/src/leases/lease_grantor.rs
@@ -7,7 +7,7 @@
 
 use super::message::LeaseKey;
 use super::quorum_group::quorum_group;
-use crate::Limits;
+use crate::CoordinationConfig;
 
 #[derive(Debug)]
 struct Grant {
@@ -35,15 +35,15 @@
 }
 
 impl LeaseGrantor {
-    pub fn new(me: NodeId, nodes: usize, limits: &Limits) -> LeaseGrantor {
-        let drift = limits.max_clock_drift;
+    pub fn new(me: NodeId, nodes: usize, config: &CoordinationConfig) -> LeaseGrantor {
+        let drift = config.max_clock_drift;
         let clock_ratio = (1.0 + drift) / (1.0 - drift);
         LeaseGrantor {
             me,
             nodes,
-            quorum_group_size: limits.quorum_group_size,
-            grant_duration: limits.lease_duration.times(clock_ratio) + limits.max_pause,
-            owner_priority: limits.owner_priority,
+            quorum_group_size: config.quorum_group_size,
+            grant_duration: config.lease_duration.times(clock_ratio) + config.max_pause,
+            owner_priority: config.owner_priority,
             grants: BTreeMap::new(),
             no_grants_until: Time(0),
         }
--- a/crates/coordination/src/leases/lease_holder.rs
+++ b/crates/coordination/src/leases/lease_holder.rs
@@ -5,7 +5,7 @@
 
 use super::message::{LeaseAction, LeaseKey, LeaseMessage};
 use super::quorum_group::{is_majority, quorum_group};
-use crate::Limits;
+use crate::CoordinationConfig;
 
 /// Maximum rounds of backoff after a lease was not granted. Several nodes that request the same
 /// share at once split the votes of its quorum group, so that none of them gets a majority; with
@@ -72,14 +72,19 @@
 }
 
 impl LeaseHolder {
-    pub fn new(me: NodeId, nodes: usize, first_round: u32, limits: &Limits) -> LeaseHolder {
+    pub fn new(
+        me: NodeId,
+        nodes: usize,
+        first_round: u32,
+        config: &CoordinationConfig,
+    ) -> LeaseHolder {
         let mut holder = LeaseHolder {
             me,
             nodes,
-            quorum_group_size: limits.quorum_group_size,
-            lease_duration: limits.lease_duration,
-            renewal_interval: limits.renewal_interval,
-            max_borrowed_shares: limits.max_borrowed_shares,
+            quorum_group_size: config.quorum_group_size,
+            lease_duration: config.lease_duration,
+            renewal_interval: config.renewal_interval,
+            max_borrowed_shares: config.max_borrowed_shares,
             leases: Vec::new(),
             wanted_shares: 0,
             round: first_round,
--- a/crates/coordination/src/leases/mod.rs
+++ b/crates/coordination/src/leases/mod.rs
@@ -10,7 +10,7 @@
 use quartzhub_membership::NodeId;
 use quartzhub_policy::{Pcg, Time};
 
-use crate::Limits;
+use crate::CoordinationConfig;
 use lease_grantor::LeaseGrantor;
 use lease_holder::LeaseHolder;
 pub use message::{LeaseAction, LeaseKey, LeaseMessage};
@@ -29,13 +29,13 @@
 impl Leases {
     /// Creates the leases of node `me`. `first_round` is a number that earlier processes of this
     /// node have not used recently.
-    pub fn new(me: NodeId, nodes: usize, first_round: u32, limits: &Limits) -> Leases {
+    pub fn new(me: NodeId, nodes: usize, first_round: u32, config: &CoordinationConfig) -> Leases {
         Leases {
             me,
             nodes,
-            reserved_fraction: limits.reserved_fraction,
-            holder: LeaseHolder::new(me, nodes, first_round, limits),
-            grantor: LeaseGrantor::new(me, nodes, limits),
+            reserved_fraction: config.reserved_fraction,
+            holder: LeaseHolder::new(me, nodes, first_round, config),
+            grantor: LeaseGrantor::new(me, nodes, config),
         }
     }
 
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -4,14 +4,14 @@
 //! alternatives that were considered.
 #![deny(missing_docs)]
 
+pub mod config;
 mod coordinator;
 pub mod leases;
-pub mod limits;
 pub mod load_reports;
 pub mod sim;
 pub mod wire;
 
+pub use config::CoordinationConfig;
 pub use coordinator::Coordinator;
-pub use limits::Limits;
 pub use load_reports::FleetLoad;
 pub use quartzhub_membership::TrafficCounters;
--- a/crates/coordination/src/load_reports/mod.rs
+++ b/crates/coordination/src/load_reports/mod.rs
@@ -6,7 +6,7 @@
 use quartzhub_policy::{NodeLoad, Span, Time};
 use serde::{Deserialize, Serialize};
 
-use crate::Limits;
+use crate::CoordinationConfig;
 use bounded_sum::{attempt_time, WeightedLoad};
 
 /// Maximum value of a report, in hundredths: a million responses per second.
@@ -72,17 +72,17 @@
 
 impl LoadReports {
     /// Creates an empty set of reports for `nodes` configured nodes.
-    pub fn new(me: NodeId, nodes: usize, limits: &Limits) -> LoadReports {
+    pub fn new(me: NodeId, nodes: usize, config: &CoordinationConfig) -> LoadReports {
         LoadReports {
             me,
             known: vec![None; nodes],
             own_load: NodeLoad::default(),
             sequence: 0,
-            half_life: limits.report_half_life,
-            max_age: limits.max_report_age,
-            min_reporting_nodes: limits.min_reporting_nodes,
-            max_report_medians: limits.max_report_medians,
-            max_transmissions: limits.max_report_transmissions,
+            half_life: config.report_half_life,
+            max_age: config.max_report_age,
+            min_reporting_nodes: config.min_reporting_nodes,
+            max_report_medians: config.max_report_medians,
+            max_transmissions: config.max_report_transmissions,
         }
     }
 
--- a/crates/coordination/src/sim.rs
+++ b/crates/coordination/src/sim.rs
@@ -6,7 +6,7 @@
 use quartzhub_membership::{Datagram, NodeId};
 use quartzhub_policy::{NodeLoad, Span, Time};
 
-use crate::{Coordinator, Limits};
+use crate::{CoordinationConfig, Coordinator};
 
 /// The fleet hash in the datagrams of the emulated fleet.
 const FLEET: u32 = 7;
@@ -25,7 +25,7 @@
 
 /// Settings of the processes of an emulated network.
 pub struct Settings {
-    limits: Limits,
+    config: CoordinationConfig,
     /// For each node, the other nodes that it considers members, correctly or not.
     views: Vec<Vec<NodeId>>,
 }
@@ -46,7 +46,7 @@
             launch.nodes,
             FLEET,
             launch.seed,
-            settings.limits.clone(),
+            settings.config.clone(),
         );
         coordinator.start(launch.now);
         CoordinatorProcess {
@@ -96,20 +96,20 @@
 impl Network {
     /// Creates a network of nodes that have not been started, each of which considers all others
     /// members.
-    pub fn new(nodes: usize, limits: Limits, seed: u64) -> Network {
-        let config = NetworkConfig {
+    pub fn new(nodes: usize, config: CoordinationConfig, seed: u64) -> Network {
+        let network_config = NetworkConfig {
             delay: DELAY,
             jitter: JITTER,
             duplicate_probability: None,
             receive_buffer: 0,
             min_tick_interval: MIN_TICK_INTERVAL,
         };
-        let max_drift = limits.max_clock_drift;
+        let max_drift = config.max_clock_drift;
         let views = (0..nodes)
             .map(|node| other_nodes(nodes, node, |_| true))
             .collect();
-        let settings = Settings { limits, views };
-        let mut emulation = EmulatedNetwork::with_config(nodes, settings, config, seed);
+        let settings = Settings { config, views };
+        let mut emulation = EmulatedNetwork::with_config(nodes, settings, network_config, seed);
         emulation.randomize_clocks(max_drift, MAX_CLOCK_OFFSET_US);
         Network { emulation }
     }
@@ -158,8 +158,8 @@
     /// short time ago counts with the share at that time, since it may have been paused between
     /// reading its clock and the write that this reading allows.
     pub fn total_share(&self) -> f64 {
-        let limits = &self.emulation.settings.limits;
-        let max_pause = limits.max_pause.times(1.0 - 2.0 * limits.max_clock_drift);
+        let config = &self.emulation.settings.config;
+        let max_pause = config.max_pause.times(1.0 - 2.0 * config.max_clock_drift);
         let now = self.emulation.now;
         let share = |node: usize| {
             let clock_read_at = match self.emulation.paused_since(node) {
--- a/crates/coordination/tests/leases.rs
+++ b/crates/coordination/tests/leases.rs
@@ -2,12 +2,12 @@
 use std::collections::BTreeSet;
 
 use quartzhub_coordination::sim::Network;
-use quartzhub_coordination::Limits;
+use quartzhub_coordination::CoordinationConfig;
 use quartzhub_policy::Span;
 
 #[test]
 fn side_with_the_majority_leases_the_shares_of_the_other() {
-    let mut network = Network::new(12, Limits::default(), 3);
+    let mut network = Network::new(12, CoordinationConfig::default(), 3);
     network.emulation.start_all();
     network.run_for(Span::ms(8_000), |_| ());
     assert!((network.total_share() - 1.0).abs() < 1e-9);
@@ -41,7 +41,7 @@
 
 #[test]
 fn node_gets_its_share_back_soon_after_a_restart() {
-    let mut network = Network::new(6, Limits::default(), 5);
+    let mut network = Network::new(6, CoordinationConfig::default(), 5);
     network.emulation.start_all();
     network.run_for(Span::ms(6_000), |_| ());
     network.emulation.kill(2);
@@ -71,7 +71,7 @@
 /// and the others' clocks are the fastest. Returns the maximum sum of all shares while the others
 /// request the same share.
 fn max_total_share_with_isolated_borrower(seed: u64, restart: bool) -> f64 {
-    let mut network = Network::new(6, Limits::default(), seed);
+    let mut network = Network::new(6, CoordinationConfig::default(), seed);
     network.emulation.set_clock_rate(0, 0.95);
     (1..6).for_each(|at| network.emulation.set_clock_rate(at, 1.05));
     network.emulation.start_all();
--- a/crates/coordination/tests/load_reports.rs
+++ b/crates/coordination/tests/load_reports.rs
@@ -1,6 +1,6 @@
 //! Load reports in a lossy network with a faulty node.
 use quartzhub_coordination::sim::Network;
-use quartzhub_coordination::Limits;
+use quartzhub_coordination::CoordinationConfig;
 use quartzhub_policy::{NodeLoad, Span};
 
 /// Reports reach all nodes within three seconds, at the same traffic per node regardless of the
@@ -9,7 +9,7 @@
 #[test]
 fn reports_reach_all_nodes_and_a_faulty_report_is_bounded() {
     for nodes in [8, 64, 256] {
-        let mut network = Network::new(nodes, Limits::default(), 11);
+        let mut network = Network::new(nodes, CoordinationConfig::default(), 11);
         network.emulation.start_all();
         network.emulation.links.loss = 0.2;
         (0..nodes).for_each(|at| {
--- a/crates/coordination/tests/mixed_versions.rs
+++ b/crates/coordination/tests/mixed_versions.rs
@@ -1,5 +1,5 @@
 //! A fleet in which some nodes run a version without load reports and leases.
-use quartzhub_coordination::{wire, Coordinator, Limits};
+use quartzhub_coordination::{wire, CoordinationConfig, Coordinator};
 use quartzhub_membership::NodeId;
 use quartzhub_policy::{NodeLoad, Time};
 
@@ -7,7 +7,7 @@
 fn datagrams_between_versions_are_dropped_as_malformed() {
     let mut sent = Vec::new();
     let mut responses = Vec::new();
-    let mut coordinator = Coordinator::new(NodeId(1), 3, 7, 1, Limits::default());
+    let mut coordinator = Coordinator::new(NodeId(1), 3, 7, 1, CoordinationConfig::default());
     coordinator.start(Time(0));
     coordinator.set_own_load(NodeLoad {
         mean_in_flight: 1.0,
@@ -19,7 +19,7 @@
         3,
         7,
         1,
-        quartzhub_membership::Limits::default(),
+        quartzhub_membership::MembershipConfig::default(),
     );
     membership.start(Time(0));
     for datagram in &sent {
--- a/crates/coordination/tests/properties.rs
+++ b/crates/coordination/tests/properties.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use quartzhub_coordination::sim::Network;
-use quartzhub_coordination::{Coordinator, Limits};
+use quartzhub_coordination::{CoordinationConfig, Coordinator};
 use quartzhub_membership::NodeId;
 use quartzhub_policy::{Span, Time};
 
@@ -68,7 +68,7 @@
     /// bounded time.
     #[test]
     fn shares_never_add_up_to_more_than_one((nodes, seed, events) in history()) {
-        let mut network = Network::new(nodes, Limits::default(), seed);
+        let mut network = Network::new(nodes, CoordinationConfig::default(), seed);
         network.emulation.start_all();
         let mut max_total = 0.0f64;
         for (delay, fault) in events {
@@ -100,12 +100,12 @@
         bytes in proptest::collection::vec(any::<u8>(), 0..300),
         flip in any::<prop::sample::Index>(),
     ) {
-        let mut coordinator = Coordinator::new(NodeId(0), 5, 7, 1, Limits::default());
+        let mut coordinator = Coordinator::new(NodeId(0), 5, 7, 1, CoordinationConfig::default());
         coordinator.start(Time(0));
         let mut out = Vec::new();
         coordinator.receive(Time(0), NodeId(1), &bytes, &mut out);
         // A valid datagram with one bit flipped.
-        let mut other = Coordinator::new(NodeId(1), 5, 7, 2, Limits::default());
+        let mut other = Coordinator::new(NodeId(1), 5, 7, 2, CoordinationConfig::default());
         other.start(Time(0));
         other.tick(Time(1_000_000), 1, &[NodeId(0)], &mut out);
         for datagram in &mut out {
--- a/crates/coordination/tests/recorded_datagrams.rs
+++ b/crates/coordination/tests/recorded_datagrams.rs
@@ -3,7 +3,7 @@
 use quartzhub_coordination::leases::LeaseKey;
 use quartzhub_coordination::load_reports::LoadReport;
 use quartzhub_coordination::wire::{decode_datagram, Entry, Head, Packet, VERSION};
-use quartzhub_coordination::{Coordinator, Limits};
+use quartzhub_coordination::{CoordinationConfig, Coordinator};
 use quartzhub_membership::NodeId;
 use quartzhub_policy::Time;
 
@@ -77,7 +77,7 @@
 
 #[test]
 fn started_node_sends_the_recorded_datagrams() {
-    let mut coordinator = Coordinator::new(NodeId(1), 3, FLEET, 7, Limits::default());
+    let mut coordinator = Coordinator::new(NodeId(1), 3, FLEET, 7, CoordinationConfig::default());
     coordinator.start(Time(0));
     let mut out = Vec::new();
     coordinator.tick(Time(1_000_000), 1, &[NodeId(0), NodeId(2)], &mut out);
--- a/crates/lab/src/gossip.rs
+++ b/crates/lab/src/gossip.rs
@@ -4,7 +4,7 @@
 mod report;
 
 use quartzhub_membership::sim::Network;
-use quartzhub_membership::{Limits, MemberState};
+use quartzhub_membership::{MemberState, MembershipConfig};
 use quartzhub_policy::{Pcg, Span, Time};
 use rayon::prelude::*;
 
@@ -57,10 +57,10 @@
 }
 
 impl Detector {
-    fn limits(self) -> Limits {
+    fn config(self) -> MembershipConfig {
         match self {
-            Detector::Quartzhub => Limits::default(),
-            Detector::Plain => Limits::plain(),
+            Detector::Quartzhub => MembershipConfig::default(),
+            Detector::Plain => MembershipConfig::plain(),
         }
     }
 
@@ -153,7 +153,7 @@
 }
 
 fn settled_network(nodes: usize, detector: Detector, seed: u64) -> Network {
-    let mut network = Network::new(nodes, detector.limits(), seed);
+    let mut network = Network::new(nodes, detector.config(), seed);
     network.start_all();
     network.play(SETTLING_TIME);
     network
--- a/crates/membership/src/limits.rs
+++ b/crates/membership/src/config.rs
@@ -3,7 +3,7 @@
 
 /// Parameters of the membership protocol.
 #[derive(Debug, Clone)]
-pub struct Limits {
+pub struct MembershipConfig {
     /// Interval between probes. With a ping and an ack of about 60 bytes each, a node sends about
     /// 400 bytes per second, regardless of the size of the fleet.
     pub probe_period: Span,
@@ -128,9 +128,9 @@
     }
 }
 
-impl Default for Limits {
-    fn default() -> Limits {
-        Limits {
+impl Default for MembershipConfig {
+    fn default() -> MembershipConfig {
+        MembershipConfig {
             probe_period: Span::ms(250),
             ack_timeout: Span::ms(80),
             indirect_probe_count: 3,
@@ -166,21 +166,21 @@
     }
 }
 
-impl Limits {
+impl MembershipConfig {
     /// Returns the parameters of plain SWIM: indirect probes, a fixed suspicion timeout, a single
     /// suspector, and no local health.
-    pub fn plain() -> Limits {
+    pub fn plain() -> MembershipConfig {
         let disabled = DisabledFeatures {
             local_health: true,
             heard_reports: true,
             confirmations: true,
             ..DisabledFeatures::default()
         };
-        let min_suspicion_timeout = Limits::default().min_suspicion_timeout;
-        Limits {
+        let min_suspicion_timeout = MembershipConfig::default().min_suspicion_timeout;
+        MembershipConfig {
             max_suspicion_timeout: min_suspicion_timeout,
             disabled,
-            ..Limits::default()
+            ..MembershipConfig::default()
         }
     }
 
--- a/crates/membership/src/drain_overrides/propagation.rs
+++ b/crates/membership/src/drain_overrides/propagation.rs
@@ -21,7 +21,7 @@
         if self.join_rounds_left > 0 && !is_alone {
             return Err(OverrideRejected::Started);
         }
-        let push_rounds = self.limits.push_rounds;
+        let push_rounds = self.config.push_rounds;
         let issued = self
             .drain_overrides
             .issue(now, self.me, server, drain, push_rounds)?;
@@ -41,7 +41,7 @@
     }
 
     pub(crate) fn on_drain_override(&mut self, now: Time, received: DrainOverride) {
-        let push_rounds = self.limits.push_rounds;
+        let push_rounds = self.config.push_rounds;
         if self.drain_overrides.put(now, received, push_rounds) {
             self.dissemination.put(Entry::DrainOverride(received));
         }
@@ -50,12 +50,12 @@
     /// Pushes drain overrides that are due. Rumors alone take a second or more to reach all nodes
     /// of a large fleet, so a node that learns of an override pushes it at once.
     pub(crate) fn push_drain_overrides(&mut self, now: Time, out: &mut Vec<Datagram>) {
-        let interval = self.limits.push_interval;
+        let interval = self.config.push_interval;
         while let Some(due) = self.drain_overrides.take_due_push(now, interval) {
             let fanout = if due.by == self.me {
-                self.limits.issuer_push_fanout
+                self.config.issuer_push_fanout
             } else {
-                self.limits.push_fanout
+                self.config.push_fanout
             };
             let others: Vec<NodeId> = self.table.other_members().collect();
             for to in sample(others, fanout, &mut self.rng) {
--- a/crates/membership/src/failure_detector/indirect.rs
+++ b/crates/membership/src/failure_detector/indirect.rs
@@ -43,7 +43,7 @@
         let Some(probe) = self.detector.probe else {
             return;
         };
-        let relays = if self.limits.disabled.indirect_probes {
+        let relays = if self.config.disabled.indirect_probes {
             Vec::new()
         } else {
             self.choose_relays(probe.target)
@@ -58,7 +58,7 @@
     }
 
     fn choose_relays(&mut self, target: NodeId) -> Vec<NodeId> {
-        let count = self.limits.indirect_probe_count;
+        let count = self.config.indirect_probe_count;
         let mut relays = Vec::new();
         for _ in 0..PICKS_PER_RELAY * count {
             let random = self.rng.unit();
@@ -80,7 +80,7 @@
     /// Probes a target on behalf of the requesting node.
     pub(crate) fn on_ping_req(&mut self, now: Time, head: &Head, out: &mut Vec<Datagram>) {
         let targets_self_or_requester = head.target == self.me || head.target == head.from;
-        let is_full = self.detector.relayed_probes.len() >= self.limits.max_relayed_probes;
+        let is_full = self.detector.relayed_probes.len() >= self.config.max_relayed_probes;
         if targets_self_or_requester || is_full {
             return;
         }
@@ -90,8 +90,8 @@
             requester_probe: head.probe,
             target: head.target,
             sequence,
-            nack_due: now + self.limits.ack_timeout,
-            ends_at: now + self.limits.probe_period.times(RELAY_PERIODS),
+            nack_due: now + self.config.ack_timeout,
+            ends_at: now + self.config.probe_period.times(RELAY_PERIODS),
             nacked: false,
         });
     }
--- a/crates/membership/src/failure_detector/probing.rs
+++ b/crates/membership/src/failure_detector/probing.rs
@@ -21,7 +21,7 @@
             target,
             sequence,
             started: now,
-            ack_due: now + self.limits.ack_timeout.times(multiplier),
+            ack_due: now + self.config.ack_timeout.times(multiplier),
             ends_at: self.detector.next_period,
             indirect_requests: None,
             nacks: 0,
@@ -32,7 +32,7 @@
     /// Every `periods_per_non_member_ping` periods, pings a node that is not a member: the node or
     /// the link to it may have recovered.
     pub(crate) fn ping_non_member(&mut self, out: &mut Vec<Datagram>) {
-        let interval = self.limits.periods_per_non_member_ping;
+        let interval = self.config.periods_per_non_member_ping;
         if !self.detector.period_count.is_multiple_of(interval) {
             return;
         }
@@ -48,11 +48,11 @@
     /// Pings additional members while this node is isolated. Others may still receive its
     /// datagrams, and one of them can then report this before the node is declared dead.
     pub(crate) fn solicit_heard_reports(&mut self, now: Time, out: &mut Vec<Datagram>) {
-        let is_isolated = self.local_health.is_isolated(now, &self.limits);
-        if !is_isolated || self.limits.disabled.heard_reports {
+        let is_isolated = self.local_health.is_isolated(now, &self.config);
+        if !is_isolated || self.config.disabled.heard_reports {
             return;
         }
-        for _ in 0..self.limits.indirect_probe_count {
+        for _ in 0..self.config.indirect_probe_count {
             let random = self.rng.unit();
             let member = self
                 .table
@@ -69,7 +69,7 @@
             return;
         }
         self.join_rounds_left -= 1;
-        for _ in 0..self.limits.join_fanout {
+        for _ in 0..self.config.join_fanout {
             let random = self.rng.unit();
             let unheard = self
                 .table
@@ -96,7 +96,7 @@
         // A nack shows that the link to its sender works. If none of the requested relays responds,
         // a local fault is more likely.
         let has_asked_relays = probe.indirect_requests.is_some_and(|requests| requests > 0);
-        if has_asked_relays && probe.nacks == 0 && !self.limits.disabled.local_health {
+        if has_asked_relays && probe.nacks == 0 && !self.config.disabled.local_health {
             self.local_health.worsen(1);
         }
         if !self.may_suspect_others(now) {
@@ -106,9 +106,9 @@
             return;
         };
         let was_heard_since = member.heard.is_some_and(|heard| {
-            now - heard < self.limits.recently_heard_window && heard > probe.started
+            now - heard < self.config.recently_heard_window && heard > probe.started
         });
-        let is_known_alive = was_heard_since && !self.limits.disabled.heard_reports;
+        let is_known_alive = was_heard_since && !self.config.disabled.heard_reports;
         if member.state.is_member() && !is_known_alive {
             let incarnation = member.incarnation;
             self.suspect(now, probe.target, incarnation, self.me);
--- a/crates/membership/src/failure_detector/suspicion.rs
+++ b/crates/membership/src/failure_detector/suspicion.rs
@@ -35,8 +35,8 @@
             .table
             .get(node)
             .and_then(|member| member.heard)
-            .is_some_and(|heard| now - heard < self.limits.probe_period);
-        if was_heard_since && !self.limits.disabled.heard_reports {
+            .is_some_and(|heard| now - heard < self.config.probe_period);
+        if was_heard_since && !self.config.disabled.heard_reports {
             self.report_heard(now, node, incarnation);
         }
     }
@@ -53,7 +53,7 @@
             return;
         }
         let members = self.table.member_count() as f64;
-        if self.rng.unit() * members < self.limits.expected_confirming_probes {
+        if self.rng.unit() * members < self.config.expected_confirming_probes {
             self.detector.probe_order.push(node);
         }
     }
@@ -61,18 +61,18 @@
     /// Returns the number of suspectors needed to declare a member dead. In a fleet that allows it
     /// there are several, so that no node is removed on the report of a single one.
     fn required_confirmations(&self) -> usize {
-        if self.limits.disabled.confirmations {
+        if self.config.disabled.confirmations {
             return 1;
         }
         let others = self.table.member_count().saturating_sub(2);
-        self.limits.required_confirmations.min(others).max(1)
+        self.config.required_confirmations.min(others).max(1)
     }
 
     /// Ends a suspicion, and reports to other nodes that this node receives datagrams from the
     /// suspect.
     pub(crate) fn report_heard(&mut self, now: Time, node: NodeId, incarnation: u32) {
         self.table
-            .clear_suspicion(now, node, self.limits.suspicion_holdoff);
+            .clear_suspicion(now, node, self.config.suspicion_holdoff);
         self.dissemination.put(Entry::Heard {
             node,
             incarnation,
@@ -82,7 +82,7 @@
 
     pub(crate) fn expire_suspicions(&mut self, now: Time) {
         let score = self.local_health.score();
-        for rumor in self.table.expire_suspicions(now, &self.limits, score) {
+        for rumor in self.table.expire_suspicions(now, &self.config, score) {
             self.dissemination.put(rumor);
         }
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -5,11 +5,11 @@
 //! alternatives that were considered.
 #![deny(missing_docs)]
 
+pub mod config;
 mod dissemination;
 pub mod drain_overrides;
 pub mod endpoint;
 mod failure_detector;
-pub mod limits;
 mod local_health;
 mod member;
 mod membership;
@@ -25,9 +25,9 @@
 
 use serde::{Deserialize, Serialize};
 
+pub use config::{DisabledFeatures, MembershipConfig};
 pub use drain_overrides::{DrainOverride, DrainOverrideEntry, OverrideRejected, ServerId};
 pub use endpoint::{DatagramEndpoint, TrafficCounters};
-pub use limits::{DisabledFeatures, Limits};
 pub use member::{Member, MemberState, StateChange};
 pub use membership::{Membership, MembershipCounters, ProtocolCounters};
 pub use rate_limiter::RateLimiter;
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -3,7 +3,7 @@
 use quartzhub_policy::Time;
 
 use crate::membership::Membership;
-use crate::Limits;
+use crate::MembershipConfig;
 
 /// Score added by a stall of the process, in failed probes.
 const STALL_SCORE: u32 = 2;
@@ -56,22 +56,22 @@
         self.last_suspected = Some(now);
     }
 
-    fn no_response_for(&self, now: Time, periods: f64, limits: &Limits) -> bool {
-        now - self.last_response > limits.probe_period.times(periods)
+    fn no_response_for(&self, now: Time, periods: f64, config: &MembershipConfig) -> bool {
+        now - self.last_response > config.probe_period.times(periods)
     }
 
     /// Returns whether no ack or nack has arrived for `isolation_periods` probe periods.
-    pub(crate) fn is_isolated(&self, now: Time, limits: &Limits) -> bool {
-        self.no_response_for(now, limits.isolation_periods, limits)
+    pub(crate) fn is_isolated(&self, now: Time, config: &MembershipConfig) -> bool {
+        self.no_response_for(now, config.isolation_periods, config)
     }
 
     /// Returns whether this node is more likely at fault than others: it is isolated, or it was
     /// suspected a short time ago.
-    fn is_unreliable(&self, now: Time, limits: &Limits) -> bool {
+    fn is_unreliable(&self, now: Time, config: &MembershipConfig) -> bool {
         let was_suspected = self
             .last_suspected
-            .is_some_and(|at| now - at < limits.self_suspected_hold);
-        self.is_isolated(now, limits) || was_suspected
+            .is_some_and(|at| now - at < config.self_suspected_hold);
+        self.is_isolated(now, config) || was_suspected
     }
 }
 
@@ -84,16 +84,16 @@
     /// Returns whether no node responds any more. Either the other nodes have failed or this node
     /// is disconnected; it cannot tell which.
     pub fn hears_nobody(&self, now: Time) -> bool {
-        let periods = 2.0 * self.limits.isolation_periods;
+        let periods = 2.0 * self.config.isolation_periods;
         self.table.member_count() > 1
             && self
                 .local_health
-                .no_response_for(now, periods, &self.limits)
+                .no_response_for(now, periods, &self.config)
     }
 
     /// Returns whether this node may suspect others and declare them dead.
     pub(crate) fn may_suspect_others(&self, now: Time) -> bool {
-        self.limits.disabled.local_health || !self.local_health.is_unreliable(now, &self.limits)
+        self.config.disabled.local_health || !self.local_health.is_unreliable(now, &self.config)
     }
 
     /// Detects a stall of this process by its late timer. After a stall every ack is overdue;
@@ -101,7 +101,7 @@
     /// probes, and extends all suspicion timeouts by the length of the stall.
     pub(crate) fn detect_stall(&mut self, now: Time) {
         let lateness = now - self.due();
-        if lateness <= self.limits.stall_threshold || self.limits.disabled.local_health {
+        if lateness <= self.config.stall_threshold || self.config.disabled.local_health {
             return;
         }
         self.counters.stalls += 1;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -11,7 +11,7 @@
 use crate::register::{ConflictResolution, Register};
 use crate::table::MemberTable;
 use crate::transmit::TransmitCursors;
-use crate::{wire, Datagram, Limits, NodeId};
+use crate::{wire, Datagram, MembershipConfig, NodeId};
 
 /// Counters of the datagrams and of the protocol.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
@@ -45,7 +45,7 @@
     /// Raised above every incarnation under which other nodes suspect this node, or know an earlier
     /// process of it.
     pub(crate) incarnation: u32,
-    pub(crate) limits: Limits,
+    pub(crate) config: MembershipConfig,
     pub(crate) rng: Pcg,
     pub(crate) endpoint: DatagramEndpoint,
     pub(crate) table: MemberTable,
@@ -62,16 +62,22 @@
 impl Membership {
     /// Creates the state machine of node `me`. `nodes` is the number of configured nodes, including
     /// this one.
-    pub fn new(me: NodeId, nodes: usize, fleet: u32, seed: u64, limits: Limits) -> Membership {
+    pub fn new(
+        me: NodeId,
+        nodes: usize,
+        fleet: u32,
+        seed: u64,
+        config: MembershipConfig,
+    ) -> Membership {
         let endpoint = DatagramEndpoint::new(EndpointConfig {
             version: wire::VERSION,
             fleet,
             me,
             nodes,
-            datagrams_per_second: limits.datagrams_per_second,
-            datagram_burst: limits.datagram_burst,
+            datagrams_per_second: config.datagrams_per_second,
+            datagram_burst: config.datagram_burst,
         });
-        let conflict_resolution = if limits.disabled.versions {
+        let conflict_resolution = if config.disabled.versions {
             ConflictResolution::LastReceived
         } else {
             ConflictResolution::ByVersion
@@ -81,19 +87,19 @@
             incarnation: 1,
             rng: Pcg::new(seed),
             endpoint,
-            table: MemberTable::new(me, nodes, limits.max_recorded_changes),
-            dissemination: Dissemination::new(limits.max_rumors),
+            table: MemberTable::new(me, nodes, config.max_recorded_changes),
+            dissemination: Dissemination::new(config.max_rumors),
             drain_overrides: Register::with_conflict_resolution(
-                limits.max_drain_overrides,
+                config.max_drain_overrides,
                 conflict_resolution,
             ),
             detector: FailureDetector::new(),
-            local_health: LocalHealth::new(limits.max_local_health_score),
+            local_health: LocalHealth::new(config.max_local_health_score),
             transmit_cursors: TransmitCursors::default(),
-            join_rounds_left: limits.join_rounds,
+            join_rounds_left: config.join_rounds,
             is_leaving: false,
             counters: ProtocolCounters::default(),
-            limits,
+            config,
         }
     }
 
@@ -102,7 +108,7 @@
     pub fn start(&mut self, now: Time) {
         self.table.start(now);
         self.local_health.on_response(now);
-        let first_period = self.limits.probe_period.times(self.rng.unit());
+        let first_period = self.config.probe_period.times(self.rng.unit());
         self.detector.start(now + first_period);
     }
 
@@ -170,7 +176,7 @@
         if self.may_suspect_others(now) {
             self.expire_suspicions(now);
         }
-        self.detector.begin_period(now, self.limits.probe_period);
+        self.detector.begin_period(now, self.config.probe_period);
         self.send_join_requests(out);
         self.ping_non_member(out);
         self.solicit_heard_reports(now, out);
--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -65,7 +65,7 @@
         }
         let is_hello = matches!(head.kind, MessageKind::Ping { hello: true });
         self.table.record_heard(now, node, head.sequence, is_hello);
-        if self.table.is_suspect(node) && !self.limits.disabled.heard_reports {
+        if self.table.is_suspect(node) && !self.config.disabled.heard_reports {
             self.report_heard(now, node, incarnation);
         }
         let was_removed = matches!(state_before, MemberState::Dead | MemberState::Left);
@@ -110,7 +110,7 @@
     }
 
     fn on_alive(&mut self, now: Time, node: NodeId, incarnation: u32) {
-        let holdoff = self.limits.suspicion_holdoff;
+        let holdoff = self.config.suspicion_holdoff;
         if self.table.mark_alive(now, node, incarnation, holdoff) {
             self.dissemination.put(Entry::Alive { node, incarnation });
         }
@@ -121,9 +121,9 @@
         let is_new = self.table.get(node).is_some_and(|member| {
             member.state == MemberState::Suspect && member.incarnation <= incarnation
         });
-        if is_new && !self.limits.disabled.heard_reports {
+        if is_new && !self.config.disabled.heard_reports {
             self.table
-                .clear_suspicion(now, node, self.limits.suspicion_holdoff);
+                .clear_suspicion(now, node, self.config.suspicion_holdoff);
             self.dissemination.put(report);
         }
     }
@@ -131,7 +131,7 @@
     /// Handles another node's declaration that a member is dead. It counts as one more suspector,
     /// and no more than that.
     fn on_dead(&mut self, now: Time, node: NodeId, incarnation: u32, from: NodeId) {
-        if !self.limits.disabled.confirmations {
+        if !self.config.disabled.confirmations {
             self.suspect(now, node, incarnation, from);
             self.table.confirm_dead(node, incarnation, from);
         } else if self.table.mark_dead(now, node, incarnation) {
--- a/crates/membership/src/refutation.rs
+++ b/crates/membership/src/refutation.rs
@@ -10,7 +10,7 @@
     pub(crate) fn refute(&mut self, now: Time, incarnation: u32) {
         self.local_health.on_suspected(now);
         let is_outdated = incarnation < self.incarnation;
-        if is_outdated || self.is_leaving || self.limits.disabled.refutation {
+        if is_outdated || self.is_leaving || self.config.disabled.refutation {
             return;
         }
         self.raise_incarnation_above(incarnation);
--- a/crates/membership/src/sim/membership.rs
+++ b/crates/membership/src/sim/membership.rs
@@ -3,8 +3,8 @@
 
 use super::{EmulatedNetwork, EmulatedProcess, Launch, NetworkConfig};
 use crate::{
-    wire, Datagram, DrainOverride, Limits, MemberState, Membership, NodeId, OverrideRejected,
-    ServerId,
+    wire, Datagram, DrainOverride, MemberState, Membership, MembershipConfig, NodeId,
+    OverrideRejected, ServerId,
 };
 
 /// The name of the emulated fleet.
@@ -17,15 +17,15 @@
 pub type Network = EmulatedNetwork<Membership>;
 
 impl EmulatedProcess for Membership {
-    type Settings = Limits;
+    type Settings = MembershipConfig;
 
-    fn launch(limits: &Limits, launch: Launch) -> Membership {
+    fn launch(config: &MembershipConfig, launch: Launch) -> Membership {
         let mut membership = Membership::new(
             launch.me,
             launch.nodes,
             wire::fleet(FLEET),
             launch.seed,
-            limits.clone(),
+            config.clone(),
         );
         membership.start(launch.now);
         membership
@@ -47,15 +47,15 @@
 impl EmulatedNetwork<Membership> {
     /// Creates a network of nodes that have not been started, with a delay of 1 to 2 ms in each
     /// direction.
-    pub fn new(nodes: usize, limits: Limits, seed: u64) -> Network {
-        let config = NetworkConfig {
+    pub fn new(nodes: usize, config: MembershipConfig, seed: u64) -> Network {
+        let network_config = NetworkConfig {
             delay: Span::ms(1),
             jitter: Span::ms(1),
             duplicate_probability: Some(0.0),
             receive_buffer: RECEIVE_BUFFER,
             min_tick_interval: Span::ms(1),
         };
-        Network::with_config(nodes, limits, config, seed)
+        Network::with_config(nodes, config, network_config, seed)
     }
 
     /// Makes a node announce that it leaves, and ends its process.
--- a/crates/membership/src/table/transitions.rs
+++ b/crates/membership/src/table/transitions.rs
@@ -4,7 +4,7 @@
 use super::MemberTable;
 use crate::member::MemberState;
 use crate::wire::Entry;
-use crate::{Limits, NodeId};
+use crate::{MembershipConfig, NodeId};
 
 impl MemberTable {
     pub(crate) fn set_incarnation(&mut self, node: NodeId, incarnation: u32) {
@@ -143,7 +143,7 @@
     pub(crate) fn expire_suspicions(
         &mut self,
         now: Time,
-        limits: &Limits,
+        config: &MembershipConfig,
         local_health_score: u32,
     ) -> Vec<Entry> {
         let mut rumors = Vec::new();
@@ -151,9 +151,9 @@
             let member = &self.members[i];
             let suspectors = member.suspectors.len();
             let timeout = if member.declared_dead_by.len() >= member.required_confirmations {
-                limits.confirmed_dead_timeout
+                config.confirmed_dead_timeout
             } else {
-                limits.suspicion_timeout(suspectors, local_health_score)
+                config.suspicion_timeout(suspectors, local_health_score)
             };
             if member.state != MemberState::Suspect
                 || suspectors < member.required_confirmations
--- a/crates/membership/src/transmit.rs
+++ b/crates/membership/src/transmit.rs
@@ -77,7 +77,7 @@
             self.add_table_rows(&mut packet, usize::MAX);
         } else {
             self.add_drain_overrides(&mut packet, 1);
-            self.add_table_rows(&mut packet, self.limits.anti_entropy_entries);
+            self.add_table_rows(&mut packet, self.config.anti_entropy_entries);
         }
         self.endpoint.send(to, packet, out);
     }
@@ -86,8 +86,8 @@
     /// size.
     fn max_transmissions(&self) -> u32 {
         let magnitude = (self.table.len() as f64 + 1.0).log10();
-        let scaled = (self.limits.retransmit_multiplier * magnitude).ceil() as u32;
-        scaled.max(self.limits.min_retransmits)
+        let scaled = (self.config.retransmit_multiplier * magnitude).ceil() as u32;
+        scaled.max(self.config.min_retransmits)
     }
 
     fn add_drain_overrides(&mut self, packet: &mut Packet, max: usize) {
@@ -128,7 +128,7 @@
         let left = Entry::Left { node, incarnation };
         self.dissemination.put(left);
         let others: Vec<NodeId> = self.table.other_members().collect();
-        let count = 2 * self.limits.indirect_probe_count;
+        let count = 2 * self.config.indirect_probe_count;
         for to in sample(others, count, &mut self.rng) {
             self.ping(to, Some(left), out);
         }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -2,12 +2,12 @@
 #![allow(dead_code, reason = "each test file uses some of these")]
 
 use quartzhub_membership::sim::Network;
-use quartzhub_membership::{Limits, MemberState, NodeId};
+use quartzhub_membership::{MemberState, MembershipConfig, NodeId};
 use quartzhub_policy::Span;
 
 /// Starts a network and runs it until all nodes know each other.
-pub fn converged_network(nodes: usize, limits: Limits, seed: u64) -> Network {
-    let mut network = Network::new(nodes, limits, seed);
+pub fn converged_network(nodes: usize, config: MembershipConfig, seed: u64) -> Network {
+    let mut network = Network::new(nodes, config, seed);
     network.start_all();
     network.play(Span::ms(8_000));
     assert_eq!(
--- a/crates/membership/tests/crashes.rs
+++ b/crates/membership/tests/crashes.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use quartzhub_membership::sim::Network;
-use quartzhub_membership::{DisabledFeatures, Limits, MemberState, NodeId};
+use quartzhub_membership::{DisabledFeatures, MemberState, MembershipConfig, NodeId};
 use quartzhub_policy::Span;
 
 use common::{converged_network, membership_flaps};
@@ -11,7 +11,7 @@
 #[test]
 fn killed_node_is_dead_and_unstarted_node_is_unknown() {
     for nodes in [3, 5, 12, 48] {
-        let mut network = Network::new(nodes + 1, Limits::default(), 1);
+        let mut network = Network::new(nodes + 1, MembershipConfig::default(), 1);
         (0..nodes).for_each(|node| network.start(node));
         network.play(Span::ms(8_000));
         assert_eq!(
@@ -28,7 +28,7 @@
 #[test]
 fn only_killed_nodes_are_removed_while_datagrams_are_lost() {
     for seed in 1..=8 {
-        let mut network = converged_network(12, Limits::default(), seed);
+        let mut network = converged_network(12, MembershipConfig::default(), seed);
         network.links.loss = 0.2;
         network.play(Span::ms(5_000));
         network.kill(3);
@@ -52,7 +52,7 @@
 #[test]
 fn paused_nodes_remove_nobody_and_are_members_after_resuming() {
     for seed in 1..=8 {
-        let mut network = converged_network(12, Limits::default(), seed);
+        let mut network = converged_network(12, MembershipConfig::default(), seed);
         [0, 3, 5, 8, 11]
             .iter()
             .for_each(|node| network.pause(*node, Span::ms(3_000)));
@@ -84,8 +84,8 @@
 
 #[test]
 fn paused_node_suspects_others_only_without_local_health() {
-    let count_suspicions = |limits: Limits| {
-        let mut network = converged_network(12, limits, 2);
+    let count_suspicions = |config: MembershipConfig| {
+        let mut network = converged_network(12, config, 2);
         let mut suspected = 0;
         for _ in 0..20 {
             let paused_at = network.now;
@@ -106,11 +106,11 @@
         local_health: true,
         ..DisabledFeatures::default()
     };
-    assert_eq!(count_suspicions(Limits::default()), 0);
+    assert_eq!(count_suspicions(MembershipConfig::default()), 0);
     assert!(
-        count_suspicions(Limits {
+        count_suspicions(MembershipConfig {
             disabled,
-            ..Limits::default()
+            ..MembershipConfig::default()
         }) > 0
     );
 }
--- a/crates/membership/tests/cut_links.rs
+++ b/crates/membership/tests/cut_links.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use quartzhub_membership::sim::Network;
-use quartzhub_membership::{DisabledFeatures, Limits, MemberState};
+use quartzhub_membership::{DisabledFeatures, MemberState, MembershipConfig};
 use quartzhub_policy::Span;
 
 use common::{converged_network, count_removers, max_flaps};
@@ -11,7 +11,7 @@
 #[test]
 fn one_way_cut_of_one_link_raises_no_suspicion() {
     for seed in 1..=4 {
-        let mut network = converged_network(12, Limits::default(), seed);
+        let mut network = converged_network(12, MembershipConfig::default(), seed);
         let before = network
             .process(5)
             .map(|membership| membership.change_count());
@@ -35,9 +35,9 @@
     };
     let mut network = converged_network(
         12,
-        Limits {
+        MembershipConfig {
             disabled,
-            ..Limits::default()
+            ..MembershipConfig::default()
         },
         1,
     );
@@ -57,7 +57,7 @@
 #[test]
 fn node_that_receives_nothing_removes_nobody_and_stays_member() {
     for seed in 1..=4 {
-        let mut network = converged_network(12, Limits::default(), seed);
+        let mut network = converged_network(12, MembershipConfig::default(), seed);
         let all: Vec<usize> = (0..12).collect();
         network.links.cut(&all, &[4]);
         network.play(Span::ms(30_000));
@@ -95,7 +95,7 @@
 #[test]
 fn unheard_node_is_removed_once_removes_nobody_and_rejoins() {
     for seed in 1..=4 {
-        let mut network = converged_network(12, Limits::default(), seed);
+        let mut network = converged_network(12, MembershipConfig::default(), seed);
         let all: Vec<usize> = (0..12).collect();
         network.links.cut(&[4], &all);
         network.play(Span::ms(30_000));
@@ -116,7 +116,7 @@
 #[test]
 fn unheard_third_of_the_fleet_removes_nobody_of_the_rest() {
     for seed in 1..=4 {
-        let mut network = converged_network(12, Limits::default(), seed);
+        let mut network = converged_network(12, MembershipConfig::default(), seed);
         let (third, rest): (Vec<usize>, Vec<usize>) = ((0..4).collect(), (4..12).collect());
         network.links.cut(&third, &rest);
         network.play(Span::ms(40_000));
@@ -137,7 +137,7 @@
 #[test]
 fn views_agree_within_five_seconds_of_the_end_of_a_partition() {
     for seed in 1..=8 {
-        let mut network = converged_network(12, Limits::default(), seed);
+        let mut network = converged_network(12, MembershipConfig::default(), seed);
         let (first_side, second_side): (Vec<usize>, Vec<usize>) =
             ((0..5).collect(), (5..12).collect());
         network.links.cut(&first_side, &second_side);
--- a/crates/membership/tests/drain_overrides.rs
+++ b/crates/membership/tests/drain_overrides.rs
@@ -2,14 +2,14 @@
 use quartzhub_membership::sim::{Network, FLEET};
 use quartzhub_membership::wire::{fleet, Entry, Head, MessageKind, Packet};
 use quartzhub_membership::{
-    DisabledFeatures, DrainOverride, Limits, NodeId, OverrideRejected, ServerId,
+    DisabledFeatures, DrainOverride, MembershipConfig, NodeId, OverrideRejected, ServerId,
 };
 use quartzhub_policy::Span;
 
 const CACHE: ServerId = ServerId(0xfeed_beef_cafe_0001);
 
-fn converged_network(nodes: usize, limits: Limits, seed: u64) -> Network {
-    let mut network = Network::new(nodes, limits, seed);
+fn converged_network(nodes: usize, config: MembershipConfig, seed: u64) -> Network {
+    let mut network = Network::new(nodes, config, seed);
     network.start_all();
     network.play(Span::ms(8_000));
     network
@@ -56,7 +56,7 @@
     let mut slowest = 0;
     for (nodes, loss) in [(3, 0.0), (12, 0.2), (48, 0.2), (200, 0.2), (400, 0.0)] {
         for seed in 1..=if nodes < 100 { 3 } else { 1 } {
-            let mut network = converged_network(nodes, Limits::default(), seed);
+            let mut network = converged_network(nodes, MembershipConfig::default(), seed);
             network.links.loss = loss;
             assert!(network.set_drain_override(nodes / 2, CACHE, true).is_ok());
             let drain_ms = ms_until_all_have(&mut network, CACHE, true, 5_000)
@@ -100,8 +100,8 @@
 
 #[test]
 fn older_version_has_no_effect_unless_versions_are_disabled() {
-    let count_drained = |limits: Limits| {
-        let mut network = converged_network(12, limits, 5);
+    let count_drained = |config: MembershipConfig| {
+        let mut network = converged_network(12, config, 5);
         let delayed = network
             .set_drain_override(3, CACHE, true)
             .expect("the drain is issued");
@@ -116,15 +116,15 @@
         network.play(Span::ms(500));
         count_nodes_with(&network, CACHE, true)
     };
-    assert_eq!(count_drained(Limits::default()), 0);
+    assert_eq!(count_drained(MembershipConfig::default()), 0);
     let disabled = DisabledFeatures {
         versions: true,
         ..DisabledFeatures::default()
     };
     assert!(
-        count_drained(Limits {
+        count_drained(MembershipConfig {
             disabled,
-            ..Limits::default()
+            ..MembershipConfig::default()
         }) > 0,
         "the outdated override had no effect although versions are disabled"
     );
@@ -132,7 +132,7 @@
 
 #[test]
 fn restarted_node_learns_overrides_before_it_may_issue_any() {
-    let mut network = converged_network(12, Limits::default(), 2);
+    let mut network = converged_network(12, MembershipConfig::default(), 2);
     for server in 0..40 {
         network
             .set_drain_override(1, ServerId(server), true)
@@ -160,7 +160,7 @@
 
 #[test]
 fn drain_wins_on_both_sides_once_a_partition_heals() {
-    let mut network = converged_network(12, Limits::default(), 9);
+    let mut network = converged_network(12, MembershipConfig::default(), 9);
     network
         .set_drain_override(0, CACHE, true)
         .expect("the drain is issued");
@@ -203,9 +203,9 @@
 fn drain_overrides_are_bounded_and_drains_are_not_evicted() {
     let mut network = converged_network(
         5,
-        Limits {
+        MembershipConfig {
             max_drain_overrides: 8,
-            ..Limits::default()
+            ..MembershipConfig::default()
         },
         3,
     );
--- a/crates/membership/tests/joins_and_leaves.rs
+++ b/crates/membership/tests/joins_and_leaves.rs
@@ -2,14 +2,14 @@
 mod common;
 
 use quartzhub_membership::sim::Network;
-use quartzhub_membership::{Limits, MemberState};
+use quartzhub_membership::{MemberState, MembershipConfig};
 use quartzhub_policy::Span;
 
 use common::converged_network;
 
 #[test]
 fn node_restarted_within_a_second_raises_its_incarnation() {
-    let mut network = converged_network(12, Limits::default(), 3);
+    let mut network = converged_network(12, MembershipConfig::default(), 3);
     for earlier_restarts in 0..3 {
         network.kill(6);
         network.play(Span::ms(700));
@@ -33,7 +33,7 @@
 
 #[test]
 fn planned_leave_is_announced_and_not_treated_as_a_failure() {
-    let mut network = converged_network(12, Limits::default(), 4);
+    let mut network = converged_network(12, MembershipConfig::default(), 4);
     network.leave(7);
     network.play(Span::ms(3_000));
     for at in (0..12).filter(|at| *at != 7) {
@@ -46,7 +46,7 @@
 
 #[test]
 fn views_agree_after_a_mass_join_and_a_mass_leave() {
-    let mut network = Network::new(48, Limits::default(), 5);
+    let mut network = Network::new(48, MembershipConfig::default(), 5);
     (0..32).for_each(|node| network.start(node));
     network.play(Span::ms(8_000));
     (32..48).for_each(|node| network.start(node));
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -5,7 +5,7 @@
 use quartzhub_membership::wire::{
     decode_datagram, fleet, DatagramError, Entry, Head, MessageKind, Packet, MAX_DATAGRAM_BYTES,
 };
-use quartzhub_membership::{Limits, MemberState, Membership, NodeId};
+use quartzhub_membership::{MemberState, Membership, MembershipConfig, NodeId};
 use quartzhub_policy::{Span, Time};
 
 #[derive(Debug, Clone)]
@@ -46,7 +46,7 @@
     fn no_running_node_is_removed_once_the_network_has_healed(
         nodes in 3usize..10, seed in 0u64..1_000_000, faults_by_delay in faults(9),
     ) {
-        let mut network = Network::new(nodes, Limits::default(), seed);
+        let mut network = Network::new(nodes, MembershipConfig::default(), seed);
         network.start_all();
         network.play(Span::ms(5_000));
         for (delay, fault) in faults_by_delay {
@@ -84,7 +84,7 @@
     fn random_bytes_have_no_effect(
         datagrams in proptest::collection::vec((0u16..20, proptest::collection::vec(any::<u8>(), 0..300)), 0..50),
     ) {
-        let mut membership = Membership::new(NodeId(1), 5, fleet(FLEET), 7, Limits::default());
+        let mut membership = Membership::new(NodeId(1), 5, fleet(FLEET), 7, MembershipConfig::default());
         membership.start(Time(0));
         let mut out = Vec::new();
         for (from, bytes) in datagrams {
@@ -98,7 +98,7 @@
     fn datagrams_with_false_content_change_only_views(
         datagrams in proptest::collection::vec((0u16..5, any::<u32>(), any::<u32>(), entries(), 0i64..2_000), 0..60),
     ) {
-        let mut membership = Membership::new(NodeId(1), 5, fleet(FLEET), 7, Limits::default());
+        let mut membership = Membership::new(NodeId(1), 5, fleet(FLEET), 7, MembershipConfig::default());
         membership.start(Time(0));
         let mut out = Vec::new();
         let mut now = Time(0);
@@ -176,7 +176,8 @@
 
 #[test]
 fn inadmissible_datagrams_are_counted_and_have_no_effect() {
-    let mut membership = Membership::new(NodeId(1), 5, fleet(FLEET), 7, Limits::default());
+    let mut membership =
+        Membership::new(NodeId(1), 5, fleet(FLEET), 7, MembershipConfig::default());
     membership.start(Time(0));
     let mut out = Vec::new();
     let mut deliver = |membership: &mut Membership, from: u16, bytes: &[u8]| {
@@ -258,7 +259,7 @@
 #[test]
 fn traffic_of_a_node_does_not_grow_with_the_fleet() {
     let measure_traffic = |nodes: usize| {
-        let mut network = Network::new(nodes, Limits::default(), 1);
+        let mut network = Network::new(nodes, MembershipConfig::default(), 1);
         network.start_all();
         network.play(Span::ms(15_000));
         let sent_before = network.links.sent;
--- a/crates/membership/tests/recorded_datagrams.rs
+++ b/crates/membership/tests/recorded_datagrams.rs
@@ -3,7 +3,7 @@
 use quartzhub_membership::wire::{
     decode_datagram, fleet, Entry, Head, MessageKind, Packet, VERSION,
 };
-use quartzhub_membership::{DrainOverride, Limits, Membership, NodeId, ServerId};
+use quartzhub_membership::{DrainOverride, Membership, MembershipConfig, NodeId, ServerId};
 use quartzhub_policy::Time;
 
 const FLEET: &str = "emulated";
@@ -140,8 +140,8 @@
 /// Two nodes discover each other, one issues a drain override, and the other leaves.
 #[test]
 fn two_nodes_send_the_recorded_datagrams() {
-    let mut issuer = Membership::new(NodeId(0), 3, fleet(FLEET), 7, Limits::default());
-    let mut leaver = Membership::new(NodeId(1), 3, fleet(FLEET), 8, Limits::default());
+    let mut issuer = Membership::new(NodeId(0), 3, fleet(FLEET), 7, MembershipConfig::default());
+    let mut leaver = Membership::new(NodeId(1), 3, fleet(FLEET), 8, MembershipConfig::default());
     issuer.start(Time(0));
     leaver.start(Time(0));
     let mut sent = Vec::new();
--- a/crates/node/src/peers/config.rs
+++ b/crates/node/src/peers/config.rs
@@ -2,7 +2,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use quartzhub_membership::limits::FEATURE_NAMES;
+use quartzhub_membership::config::FEATURE_NAMES;
 use quartzhub_membership::DisabledFeatures;
 use quartzhub_settings::Settings;
 use thiserror::Error;
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -192,16 +192,16 @@
 }
 
 fn start_membership(config: &PeerConfig, seed: u64, clock: Clock) -> Membership {
-    let limits = quartzhub_membership::Limits {
+    let membership_config = quartzhub_membership::MembershipConfig {
         disabled: config.disabled,
-        ..quartzhub_membership::Limits::default()
+        ..quartzhub_membership::MembershipConfig::default()
     };
     let mut membership = Membership::new(
         NodeId(config.me),
         config.peers.len(),
         fleet(&config.fleet),
         seed,
-        limits,
+        membership_config,
     );
     membership.start(clock.now());
     membership
@@ -213,7 +213,7 @@
         config.peers.len(),
         fleet(&config.fleet),
         seed,
-        quartzhub_coordination::Limits::default(),
+        quartzhub_coordination::CoordinationConfig::default(),
     );
     coordinator.start(clock.now());
     coordinator
