--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -87,8 +87,8 @@
     }
 
     /// Returns the time at which `tick` has to be called next.
-    pub fn due(&self) -> Time {
-        self.next_report.min(self.leases.due())
+    pub fn next_tick_at(&self) -> Time {
+        self.next_report.min(self.leases.next_tick_at())
     }
 
     /// Performs all actions that are due. `incarnation` is this node's incarnation in the
--- a/crates/coordination/src/leases/lease_holder.rs
+++ b/crates/coordination/src/leases/lease_holder.rs
@@ -115,7 +115,7 @@
         self.wanted_shares = shares.min(self.max_borrowed_shares);
     }
 
-    pub fn due(&self) -> Time {
+    pub fn next_tick_at(&self) -> Time {
         self.next_renewal
     }
 
--- a/crates/coordination/src/leases/mod.rs
+++ b/crates/coordination/src/leases/mod.rs
@@ -51,8 +51,8 @@
     }
 
     /// Returns the time at which `tick` has to be called next.
-    pub fn due(&self) -> Time {
-        self.holder.due()
+    pub fn next_tick_at(&self) -> Time {
+        self.holder.next_tick_at()
     }
 
     /// Returns the requests and releases that are due. `others` are the other members.
--- a/crates/coordination/src/sim.rs
+++ b/crates/coordination/src/sim.rs
@@ -56,8 +56,8 @@
         }
     }
 
-    fn due(&self) -> Time {
-        self.coordinator.due()
+    fn next_tick_at(&self) -> Time {
+        self.coordinator.next_tick_at()
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<Datagram>) {
--- a/crates/lab/src/gossip.rs
+++ b/crates/lab/src/gossip.rs
@@ -155,7 +155,7 @@
 fn settled_network(nodes: usize, detector: Detector, seed: u64) -> Network {
     let mut network = Network::new(nodes, detector.config(), seed);
     network.start_all();
-    network.play(SETTLING_TIME);
+    network.run_for(SETTLING_TIME);
     network
 }
 
@@ -163,7 +163,7 @@
     let sent_before = network.links.sent;
     let bytes_before = network.links.sent_bytes;
     let started_at = network.now;
-    network.play(TRAFFIC_WINDOW);
+    network.run_for(TRAFFIC_WINDOW);
     let seconds = (network.now - started_at).seconds();
     let per_second = |count: u64| count as f64 / network.len() as f64 / seconds;
     Traffic {
@@ -182,7 +182,7 @@
         if network.process(node).is_none() {
             continue;
         }
-        network.play(CRASH_JITTER.times(rng.unit()));
+        network.run_for(CRASH_JITTER.times(rng.unit()));
         network.kill(node);
         match detect_crash(network, node) {
             Some(detection) => {
@@ -212,7 +212,7 @@
     let crashed_at = network.now;
     let mut first_suspicion = None;
     while network.now - crashed_at < DETECTION_TIMEOUT {
-        network.play(DETECTION_STEP);
+        network.run_for(DETECTION_STEP);
         let elapsed = (network.now - crashed_at).seconds();
         let states: Vec<MemberState> = (0..network.len())
             .filter(|observer| *observer != node)
@@ -245,7 +245,7 @@
     while seconds < target_seconds {
         pause_tenth_of_nodes(&mut network, &mut rng, &mut resumed_at);
         for _ in 0..CHECKS_PER_ROUND {
-            network.play(REMOVAL_STEP);
+            network.run_for(REMOVAL_STEP);
             for node in 0..nodes {
                 let is_removed = is_removed_anywhere(&network, node);
                 let is_new = is_removed && !was_removed[node];
--- a/crates/membership/src/drain_overrides/mod.rs
+++ b/crates/membership/src/drain_overrides/mod.rs
@@ -15,7 +15,7 @@
 
 impl ServerId {
     /// Returns the server with this id in the endpoint list.
-    pub fn named(id: &str) -> ServerId {
+    pub fn from_endpoint_id(id: &str) -> ServerId {
         ServerId(quartzhub_policy::hash(id))
     }
 }
@@ -57,7 +57,7 @@
 pub enum OverrideRejected {
     /// This node has just started and may not know the current override, so its own would have too
     /// low a version.
-    Started,
+    NotJoined,
     /// The register is full of drains, which cannot be evicted.
     Full,
 }
--- a/crates/membership/src/drain_overrides/propagation.rs
+++ b/crates/membership/src/drain_overrides/propagation.rs
@@ -19,7 +19,7 @@
     ) -> Result<DrainOverride, OverrideRejected> {
         let is_alone = self.table.len() == 1;
         if self.join_rounds_left > 0 && !is_alone {
-            return Err(OverrideRejected::Started);
+            return Err(OverrideRejected::NotJoined);
         }
         let push_rounds = self.config.push_rounds;
         let issued = self
--- a/crates/membership/src/failure_detector/mod.rs
+++ b/crates/membership/src/failure_detector/mod.rs
@@ -59,7 +59,7 @@
         self.next_period = first_period;
     }
 
-    pub(crate) fn due(&self) -> Time {
+    pub(crate) fn next_tick_at(&self) -> Time {
         let ack_due = self
             .probe
             .filter(Probe::awaits_direct_ack)
--- a/crates/membership/src/failure_detector/probing.rs
+++ b/crates/membership/src/failure_detector/probing.rs
@@ -73,7 +73,7 @@
             let random = self.rng.unit();
             let unheard = self
                 .table
-                .pick_other(random, |_, member| member.heard.is_none());
+                .pick_other(random, |_, member| member.last_heard_at.is_none());
             let Some(to) = unheard else {
                 return;
             };
@@ -105,7 +105,7 @@
         let Some(member) = self.table.get(probe.target) else {
             return;
         };
-        let was_heard_since = member.heard.is_some_and(|heard| {
+        let was_heard_since = member.last_heard_at.is_some_and(|heard| {
             now - heard < self.config.recently_heard_window && heard > probe.started
         });
         let is_known_alive = was_heard_since && !self.config.disabled.heard_reports;
--- a/crates/membership/src/failure_detector/suspicion.rs
+++ b/crates/membership/src/failure_detector/suspicion.rs
@@ -34,7 +34,7 @@
         let was_heard_since = self
             .table
             .get(node)
-            .and_then(|member| member.heard)
+            .and_then(|member| member.last_heard_at)
             .is_some_and(|heard| now - heard < self.config.probe_period);
         if was_heard_since && !self.config.disabled.heard_reports {
             self.report_heard(now, node, incarnation);
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -83,7 +83,7 @@
 
     /// Returns whether no node responds any more. Either the other nodes have failed or this node
     /// is disconnected; it cannot tell which.
-    pub fn hears_nobody(&self, now: Time) -> bool {
+    pub fn receives_no_responses(&self, now: Time) -> bool {
         let periods = 2.0 * self.config.isolation_periods;
         self.table.member_count() > 1
             && self
@@ -100,7 +100,7 @@
     /// without this check the node would suspect others for its own fault. Drops all pending
     /// probes, and extends all suspicion timeouts by the length of the stall.
     pub(crate) fn detect_stall(&mut self, now: Time) {
-        let lateness = now - self.due();
+        let lateness = now - self.next_tick_at();
         if lateness <= self.config.stall_threshold || self.config.disabled.local_health {
             return;
         }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -50,9 +50,9 @@
     pub incarnation: u32,
     /// When it entered this state. A stall of the observer moves this time forward by the length of
     /// the stall.
-    pub since: Time,
+    pub state_since: Time,
     /// When the newest datagram of its current incarnation was received.
-    pub heard: Option<Time>,
+    pub last_heard_at: Option<Time>,
     /// Nodes whose probes of it failed, in the order in which this node learned of them.
     pub suspectors: Vec<NodeId>,
     /// Nodes that have declared it dead.
@@ -73,8 +73,8 @@
         Member {
             state: MemberState::Unknown,
             incarnation: 0,
-            since: Time(0),
-            heard: None,
+            state_since: Time(0),
+            last_heard_at: None,
             suspectors: Vec::new(),
             declared_dead_by: Vec::new(),
             required_confirmations: 1,
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -123,8 +123,8 @@
     }
 
     /// Returns all configured nodes, in the order of their ids.
-    pub fn all(&self) -> impl Iterator<Item = (NodeId, &Member)> {
-        self.table.all()
+    pub fn all_nodes(&self) -> impl Iterator<Item = (NodeId, &Member)> {
+        self.table.all_nodes()
     }
 
     /// Returns what is known about a node; none if it is not configured.
@@ -156,9 +156,10 @@
     }
 
     /// Returns the time at which `tick` has to be called next.
-    pub fn due(&self) -> Time {
+    pub fn next_tick_at(&self) -> Time {
         let push = self.drain_overrides.next_push();
-        push.into_iter().fold(self.detector.due(), Time::min)
+        push.into_iter()
+            .fold(self.detector.next_tick_at(), Time::min)
     }
 
     /// Performs all actions that are due: probes, suspicion timeouts, nacks and pushes.
--- a/crates/membership/src/sim/membership.rs
+++ b/crates/membership/src/sim/membership.rs
@@ -23,7 +23,7 @@
         let mut membership = Membership::new(
             launch.me,
             launch.nodes,
-            wire::fleet(FLEET),
+            wire::fleet_hash(FLEET),
             launch.seed,
             config.clone(),
         );
@@ -31,8 +31,8 @@
         membership
     }
 
-    fn due(&self) -> Time {
-        self.due()
+    fn next_tick_at(&self) -> Time {
+        self.next_tick_at()
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<Datagram>) {
@@ -79,7 +79,7 @@
         let now = self.now;
         let mut out = Vec::new();
         let Some(membership) = self.process_mut(node) else {
-            return Err(OverrideRejected::Started);
+            return Err(OverrideRejected::NotJoined);
         };
         let issued = membership.set_drain_override(now, server, drain, &mut out);
         self.send(node, out);
--- a/crates/membership/src/sim/network.rs
+++ b/crates/membership/src/sim/network.rs
@@ -121,7 +121,7 @@
             now,
         };
         let process = P::launch(&self.settings, launch);
-        let delay = (process.due() - now).times(1.0 / started.clock.rate);
+        let delay = (process.next_tick_at() - now).times(1.0 / started.clock.rate);
         started.process = Some(process);
         self.schedule_tick(node, self.now + delay);
     }
@@ -217,7 +217,7 @@
     }
 
     /// Runs the emulation for a span of time.
-    pub fn play(&mut self, span: Span) {
+    pub fn run_for(&mut self, span: Span) {
         let until = self.now + span;
         while self.step(until) {}
     }
@@ -254,7 +254,7 @@
         let now = node.clock.at(self.now);
         let mut out = Vec::new();
         process.tick(now, &mut out);
-        let delay = (process.due() - now).max(self.config.min_tick_interval);
+        let delay = (process.next_tick_at() - now).max(self.config.min_tick_interval);
         let delay = delay.times(1.0 / node.clock.rate);
         self.schedule_tick(at, self.now + delay);
         self.send(at, out);
--- a/crates/membership/src/sim/process.rs
+++ b/crates/membership/src/sim/process.rs
@@ -12,7 +12,7 @@
     fn launch(settings: &Self::Settings, launch: Launch) -> Self;
 
     /// Returns the time at which `tick` has to be called next.
-    fn due(&self) -> Time;
+    fn next_tick_at(&self) -> Time;
 
     /// Performs all actions that are due.
     fn tick(&mut self, now: Time, out: &mut Vec<Datagram>);
--- a/crates/membership/src/table/mod.rs
+++ b/crates/membership/src/table/mod.rs
@@ -41,7 +41,7 @@
         self.members.get(node.index())
     }
 
-    pub(crate) fn all(&self) -> impl Iterator<Item = (NodeId, &Member)> {
+    pub(crate) fn all_nodes(&self) -> impl Iterator<Item = (NodeId, &Member)> {
         self.members
             .iter()
             .enumerate()
@@ -49,7 +49,7 @@
     }
 
     fn members(&self) -> impl Iterator<Item = NodeId> + '_ {
-        self.all()
+        self.all_nodes()
             .filter(|(_, member)| member.state.is_member())
             .map(|(id, _)| id)
     }
@@ -91,7 +91,7 @@
         eligible: impl Fn(NodeId, &Member) -> bool,
     ) -> Option<NodeId> {
         let candidates = || {
-            self.all()
+            self.all_nodes()
                 .filter(|(id, member)| *id != self.me && eligible(*id, member))
         };
         let chosen = (random * candidates().count() as f64) as usize;
@@ -108,7 +108,7 @@
             return;
         }
         member.state = to;
-        member.since = now;
+        member.state_since = now;
         let suspectors = member.suspectors.clone();
         if to != MemberState::Suspect {
             member.clear_suspectors();
--- a/crates/membership/src/table/transitions.rs
+++ b/crates/membership/src/table/transitions.rs
@@ -132,7 +132,7 @@
         wants_full_table: bool,
     ) {
         if let Some(member) = self.members.get_mut(node.index()) {
-            member.heard = Some(now);
+            member.last_heard_at = Some(now);
             member.last_sequence = member.last_sequence.max(sequence);
             member.wants_full_table = wants_full_table;
         }
@@ -157,7 +157,7 @@
             };
             if member.state != MemberState::Suspect
                 || suspectors < member.required_confirmations
-                || now - member.since < timeout
+                || now - member.state_since < timeout
             {
                 continue;
             }
@@ -174,7 +174,7 @@
     pub(crate) fn extend_suspicions(&mut self, stalled_for: Span) {
         for member in &mut self.members {
             if member.state == MemberState::Suspect {
-                member.since = member.since + stalled_for;
+                member.state_since = member.state_since + stalled_for;
             }
         }
     }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -240,6 +240,6 @@
 }
 
 /// Returns the hash that identifies a fleet by its name in each datagram.
-pub fn fleet(name: &str) -> u32 {
+pub fn fleet_hash(name: &str) -> u32 {
     crc32fast::hash(name.as_bytes())
 }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -9,7 +9,7 @@
 pub fn converged_network(nodes: usize, config: MembershipConfig, seed: u64) -> Network {
     let mut network = Network::new(nodes, config, seed);
     network.start_all();
-    network.play(Span::ms(8_000));
+    network.run_for(Span::ms(8_000));
     assert_eq!(
         network.false_removals(),
         0,
--- a/crates/membership/tests/crashes.rs
+++ b/crates/membership/tests/crashes.rs
@@ -13,13 +13,13 @@
     for nodes in [3, 5, 12, 48] {
         let mut network = Network::new(nodes + 1, MembershipConfig::default(), 1);
         (0..nodes).for_each(|node| network.start(node));
-        network.play(Span::ms(8_000));
+        network.run_for(Span::ms(8_000));
         assert_eq!(
             (network.false_removals(), network.state(nodes, 0)),
             (0, Some(MemberState::Unknown))
         );
         network.kill(1);
-        network.play(Span::ms(12_000));
+        network.run_for(Span::ms(12_000));
         assert_eq!(network.missed_removals(), 0, "{nodes} nodes");
         assert_eq!(network.false_removals(), 0, "{nodes} nodes");
     }
@@ -30,17 +30,17 @@
     for seed in 1..=8 {
         let mut network = converged_network(12, MembershipConfig::default(), seed);
         network.links.loss = 0.2;
-        network.play(Span::ms(5_000));
+        network.run_for(Span::ms(5_000));
         network.kill(3);
         network.kill(8);
-        network.play(Span::ms(15_000));
+        network.run_for(Span::ms(15_000));
         assert_eq!(
             (network.missed_removals(), network.false_removals()),
             (0, 0),
             "seed {seed}"
         );
         network.links.loss = 0.0;
-        network.play(Span::ms(5_000));
+        network.run_for(Span::ms(5_000));
         assert_eq!(
             (network.missed_removals(), network.false_removals()),
             (0, 0),
@@ -57,7 +57,7 @@
             .iter()
             .for_each(|node| network.pause(*node, Span::ms(3_000)));
         network.pause(2, Span::ms(30_000));
-        network.play(Span::ms(3_500));
+        network.run_for(Span::ms(3_500));
         // Nodes that were paused still consider all running nodes members.
         for paused in [0, 3, 5, 8, 11] {
             for running in [1, 4, 6, 7, 9, 10] {
@@ -69,7 +69,7 @@
                 );
             }
         }
-        network.play(Span::ms(28_500));
+        network.run_for(Span::ms(28_500));
         assert_eq!(network.false_removals(), 0, "seed {seed}");
         let suspected = (0..12)
             .filter(|node| *node != 2)
@@ -90,7 +90,7 @@
         for _ in 0..20 {
             let paused_at = network.now;
             network.pause(2, Span::ms(3_000));
-            network.play(Span::ms(3_500));
+            network.run_for(Span::ms(3_500));
             let own_changes = network
                 .process(2)
                 .into_iter()
@@ -98,7 +98,7 @@
             suspected += own_changes
                 .filter(|change| change.at > paused_at && change.suspectors.contains(&NodeId(2)))
                 .count();
-            network.play(Span::ms(6_000));
+            network.run_for(Span::ms(6_000));
         }
         suspected
     };
--- a/crates/membership/tests/cut_links.rs
+++ b/crates/membership/tests/cut_links.rs
@@ -16,7 +16,7 @@
             .process(5)
             .map(|membership| membership.change_count());
         network.links.cut(&[1], &[2]);
-        network.play(Span::ms(60_000));
+        network.run_for(Span::ms(60_000));
         assert_eq!(
             (network.false_removals(), before),
             (
@@ -45,7 +45,7 @@
         .process(5)
         .map(|membership| membership.change_count());
     network.links.cut(&[1], &[2]);
-    network.play(Span::ms(60_000));
+    network.run_for(Span::ms(60_000));
     assert_ne!(
         before,
         network
@@ -60,14 +60,14 @@
         let mut network = converged_network(12, MembershipConfig::default(), seed);
         let all: Vec<usize> = (0..12).collect();
         network.links.cut(&all, &[4]);
-        network.play(Span::ms(30_000));
+        network.run_for(Span::ms(30_000));
         // The other nodes still receive its datagrams, so they consider it alive.
         assert_eq!(network.false_removals(), 0, "seed {seed}");
         assert!(network
             .process(4)
-            .is_some_and(|membership| membership.hears_nobody(network.now)));
+            .is_some_and(|membership| membership.receives_no_responses(network.now)));
         network.links.cuts.clear();
-        network.play(Span::ms(5_000));
+        network.run_for(Span::ms(5_000));
         assert_eq!(
             (network.false_removals(), max_flaps(&network)),
             (0, 0),
@@ -75,7 +75,7 @@
         );
         assert!(!network
             .process(4)
-            .is_some_and(|membership| membership.hears_nobody(network.now)));
+            .is_some_and(|membership| membership.receives_no_responses(network.now)));
     }
 }
 
@@ -83,7 +83,7 @@
 /// membership flaps of any node.
 fn assert_views_heal(network: &mut Network, seed: u64) {
     network.links.cuts.clear();
-    network.play(Span::ms(5_000));
+    network.run_for(Span::ms(5_000));
     assert_eq!(network.false_removals(), 0, "seed {seed}");
     assert!(
         max_flaps(network) <= 2,
@@ -98,11 +98,11 @@
         let mut network = converged_network(12, MembershipConfig::default(), seed);
         let all: Vec<usize> = (0..12).collect();
         network.links.cut(&[4], &all);
-        network.play(Span::ms(30_000));
+        network.run_for(Span::ms(30_000));
         assert_eq!(count_removers(&network, 4), 11, "seed {seed}");
         assert!(network
             .process(4)
-            .is_some_and(|membership| membership.hears_nobody(network.now)));
+            .is_some_and(|membership| membership.receives_no_responses(network.now)));
         for node in (0..12).filter(|node| *node != 4) {
             assert!(
                 network.state(node, 4).is_some_and(MemberState::is_member),
@@ -119,7 +119,7 @@
         let mut network = converged_network(12, MembershipConfig::default(), seed);
         let (third, rest): (Vec<usize>, Vec<usize>) = ((0..4).collect(), (4..12).collect());
         network.links.cut(&third, &rest);
-        network.play(Span::ms(40_000));
+        network.run_for(Span::ms(40_000));
         for node in &rest {
             for observer in &third {
                 assert!(
@@ -142,10 +142,10 @@
             ((0..5).collect(), (5..12).collect());
         network.links.cut(&first_side, &second_side);
         network.links.cut(&second_side, &first_side);
-        network.play(Span::ms(60_000));
+        network.run_for(Span::ms(60_000));
         assert_eq!(network.false_removals(), 2 * 5 * 7, "seed {seed}");
         network.links.cuts.clear();
-        network.play(Span::ms(5_000));
+        network.run_for(Span::ms(5_000));
         assert_eq!(network.false_removals(), 0, "seed {seed}");
         assert!(max_flaps(&network) <= 2, "seed {seed}");
     }
--- a/crates/membership/tests/drain_overrides.rs
+++ b/crates/membership/tests/drain_overrides.rs
@@ -1,6 +1,6 @@
 //! Drain overrides in an emulated network with loss, partitions and restarts.
 use quartzhub_membership::sim::{Network, FLEET};
-use quartzhub_membership::wire::{fleet, Entry, Head, MessageKind, Packet};
+use quartzhub_membership::wire::{fleet_hash, Entry, Head, MessageKind, Packet};
 use quartzhub_membership::{
     DisabledFeatures, DrainOverride, MembershipConfig, NodeId, OverrideRejected, ServerId,
 };
@@ -11,7 +11,7 @@
 fn converged_network(nodes: usize, config: MembershipConfig, seed: u64) -> Network {
     let mut network = Network::new(nodes, config, seed);
     network.start_all();
-    network.play(Span::ms(8_000));
+    network.run_for(Span::ms(8_000));
     network
 }
 
@@ -44,7 +44,7 @@
     (0..=max_ms / 20)
         .find(|step| {
             if *step > 0 {
-                network.play(Span::ms(20));
+                network.run_for(Span::ms(20));
             }
             count_nodes_with(network, server, drain) == running
         })
@@ -93,7 +93,11 @@
         probe: 1,
         target,
     };
-    let mut packet = Packet::new(quartzhub_membership::wire::VERSION, fleet(FLEET), &head);
+    let mut packet = Packet::new(
+        quartzhub_membership::wire::VERSION,
+        fleet_hash(FLEET),
+        &head,
+    );
     assert!(packet.add(&Entry::DrainOverride(drain_override)));
     network.inject(from, to, packet.finish());
 }
@@ -105,15 +109,15 @@
         let delayed = network
             .set_drain_override(3, CACHE, true)
             .expect("the drain is issued");
-        network.play(Span::ms(2_000));
+        network.run_for(Span::ms(2_000));
         network
             .set_drain_override(7, CACHE, false)
             .expect("the revocation is issued");
-        network.play(Span::ms(2_000));
+        network.run_for(Span::ms(2_000));
         for to in (0..12).filter(|to| *to != 3) {
             deliver_delayed(&mut network, 3, to, delayed);
         }
-        network.play(Span::ms(500));
+        network.run_for(Span::ms(500));
         count_nodes_with(&network, CACHE, true)
     };
     assert_eq!(count_drained(MembershipConfig::default()), 0);
@@ -138,14 +142,14 @@
             .set_drain_override(1, ServerId(server), true)
             .expect("the drain is issued");
     }
-    network.play(Span::ms(6_000));
+    network.run_for(Span::ms(6_000));
     network.kill(4);
     network.start(4);
     assert_eq!(
         network.set_drain_override(4, ServerId(3), false),
-        Err(OverrideRejected::Started)
+        Err(OverrideRejected::NotJoined)
     );
-    network.play(Span::ms(4_000));
+    network.run_for(Span::ms(4_000));
     assert_eq!(
         network
             .process(4)
@@ -164,7 +168,7 @@
     network
         .set_drain_override(0, CACHE, true)
         .expect("the drain is issued");
-    network.play(Span::ms(3_000));
+    network.run_for(Span::ms(3_000));
     let (left, right): (Vec<_>, Vec<_>) = ((0..7).collect(), (7..12).collect());
     network.links.cut(&left, &right);
     network.links.cut(&right, &left);
@@ -174,7 +178,7 @@
     network
         .set_drain_override(8, ServerId(77), true)
         .expect("the other side issues a drain");
-    network.play(Span::ms(20_000));
+    network.run_for(Span::ms(20_000));
     assert_eq!(
         (
             count_nodes_with(&network, CACHE, false),
@@ -189,7 +193,7 @@
         .set_drain_override(9, CACHE, true)
         .expect("the other side issues a drain again");
     network.links.cuts.clear();
-    network.play(Span::ms(8_000));
+    network.run_for(Span::ms(8_000));
     assert_eq!(
         (
             count_nodes_with(&network, CACHE, true),
@@ -213,7 +217,7 @@
         network
             .set_drain_override(0, ServerId(server), true)
             .expect("the drain is issued");
-        network.play(Span::ms(300));
+        network.run_for(Span::ms(300));
     }
     assert_eq!(
         network.set_drain_override(0, ServerId(8), true),
@@ -225,7 +229,7 @@
     network
         .set_drain_override(0, ServerId(8), true)
         .expect("a drain is issued in place of the revocation");
-    network.play(Span::ms(4_000));
+    network.run_for(Span::ms(4_000));
     for node in 0..5 {
         assert_eq!(
             (
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -3,7 +3,8 @@
 use proptest::prelude::*;
 use quartzhub_membership::sim::{Network, FLEET};
 use quartzhub_membership::wire::{
-    decode_datagram, fleet, DatagramError, Entry, Head, MessageKind, Packet, MAX_DATAGRAM_BYTES,
+    decode_datagram, fleet_hash, DatagramError, Entry, Head, MessageKind, Packet,
+    MAX_DATAGRAM_BYTES,
 };
 use quartzhub_membership::{MemberState, Membership, MembershipConfig, NodeId};
 use quartzhub_policy::{Span, Time};
@@ -48,9 +49,9 @@
     ) {
         let mut network = Network::new(nodes, MembershipConfig::default(), seed);
         network.start_all();
-        network.play(Span::ms(5_000));
+        network.run_for(Span::ms(5_000));
         for (delay, fault) in faults_by_delay {
-            network.play(Span::ms(delay));
+            network.run_for(Span::ms(delay));
             let index_of = |node: usize| node % nodes;
             match fault {
                 Fault::Cut(from, to) => {
@@ -69,13 +70,13 @@
         // Restart the nodes that are down, since a view needs at least two running nodes.
         network.links.cuts.clear();
         network.links.loss = 0.0;
-        network.play(Span::ms(8_000));
+        network.run_for(Span::ms(8_000));
         for node in 0..nodes {
             if network.process(node).is_none() {
                 network.start(node);
             }
         }
-        network.play(Span::ms(20_000));
+        network.run_for(Span::ms(20_000));
         prop_assert_eq!(network.false_removals(), 0);
         prop_assert!(network.links.max_datagram_bytes <= MAX_DATAGRAM_BYTES);
     }
@@ -84,21 +85,21 @@
     fn random_bytes_have_no_effect(
         datagrams in proptest::collection::vec((0u16..20, proptest::collection::vec(any::<u8>(), 0..300)), 0..50),
     ) {
-        let mut membership = Membership::new(NodeId(1), 5, fleet(FLEET), 7, MembershipConfig::default());
+        let mut membership = Membership::new(NodeId(1), 5, fleet_hash(FLEET), 7, MembershipConfig::default());
         membership.start(Time(0));
         let mut out = Vec::new();
         for (from, bytes) in datagrams {
             membership.receive(Time(1), NodeId(from), &bytes, &mut out);
         }
         prop_assert!(out.is_empty());
-        prop_assert!(membership.all().filter(|(id, _)| *id != NodeId(1)).all(|(_, member)| member.state == MemberState::Unknown));
+        prop_assert!(membership.all_nodes().filter(|(id, _)| *id != NodeId(1)).all(|(_, member)| member.state == MemberState::Unknown));
     }
 
     #[test]
     fn datagrams_with_false_content_change_only_views(
         datagrams in proptest::collection::vec((0u16..5, any::<u32>(), any::<u32>(), entries(), 0i64..2_000), 0..60),
     ) {
-        let mut membership = Membership::new(NodeId(1), 5, fleet(FLEET), 7, MembershipConfig::default());
+        let mut membership = Membership::new(NodeId(1), 5, fleet_hash(FLEET), 7, MembershipConfig::default());
         membership.start(Time(0));
         let mut out = Vec::new();
         let mut now = Time(0);
@@ -106,13 +107,13 @@
             now = now + Span::ms(ms);
             let kind = MessageKind::Ping { hello: sequence % 2 == 0 };
             let head = Head { kind, from: NodeId(from), incarnation, sequence, probe: sequence, target: NodeId(from) };
-            let mut packet = Packet::new(quartzhub_membership::wire::VERSION, fleet(FLEET), &head);
+            let mut packet = Packet::new(quartzhub_membership::wire::VERSION, fleet_hash(FLEET), &head);
             for entry in &entries {
                 packet.add(entry);
             }
             membership.receive(now, NodeId(from), &packet.finish(), &mut out);
             membership.tick(now, &mut out);
-            prop_assert!(membership.due() > now);
+            prop_assert!(membership.next_tick_at() > now);
             prop_assert!(out.iter().all(|datagram| datagram.bytes.len() <= MAX_DATAGRAM_BYTES));
             prop_assert!(membership.member(NodeId(1)).is_some_and(|me| me.state == MemberState::Alive));
             out.clear();
@@ -124,9 +125,9 @@
         let original = datagram(FLEET, NodeId(0), 3);
         let mut corrupted = original.clone();
         corrupted[position % original.len()] ^= 1 << bit;
-        prop_assert!(decode_datagram(&corrupted, fleet(FLEET)).is_err());
+        prop_assert!(decode_datagram(&corrupted, fleet_hash(FLEET)).is_err());
         let truncated = &original[..original.len().saturating_sub(truncated_by + 1)];
-        prop_assert!(decode_datagram(truncated, fleet(FLEET)).is_err());
+        prop_assert!(decode_datagram(truncated, fleet_hash(FLEET)).is_err());
     }
 }
 
@@ -165,7 +166,7 @@
         probe: 9,
         target: NodeId(1),
     };
-    let mut packet = Packet::new(quartzhub_membership::wire::VERSION, fleet(name), &head);
+    let mut packet = Packet::new(quartzhub_membership::wire::VERSION, fleet_hash(name), &head);
     packet.add(&Entry::Suspect {
         node: NodeId(2),
         incarnation: 4,
@@ -176,8 +177,13 @@
 
 #[test]
 fn inadmissible_datagrams_are_counted_and_have_no_effect() {
-    let mut membership =
-        Membership::new(NodeId(1), 5, fleet(FLEET), 7, MembershipConfig::default());
+    let mut membership = Membership::new(
+        NodeId(1),
+        5,
+        fleet_hash(FLEET),
+        7,
+        MembershipConfig::default(),
+    );
     membership.start(Time(0));
     let mut out = Vec::new();
     let mut deliver = |membership: &mut Membership, from: u16, bytes: &[u8]| {
@@ -185,7 +191,7 @@
         std::mem::take(&mut out).len()
     };
     assert_eq!(
-        decode_datagram(&datagram("other", NodeId(0), 3), fleet(FLEET)),
+        decode_datagram(&datagram("other", NodeId(0), 3), fleet_hash(FLEET)),
         Err(DatagramError::Fleet)
     );
     assert_eq!(
@@ -219,7 +225,9 @@
         deliver(&mut membership, 0, &datagram(FLEET, NodeId(0), 3)),
         1
     );
-    let heard = membership.member(NodeId(0)).and_then(|member| member.heard);
+    let heard = membership
+        .member(NodeId(0))
+        .and_then(|member| member.last_heard_at);
     assert_eq!(
         deliver(&mut membership, 0, &datagram(FLEET, NodeId(0), 3)),
         1
@@ -239,7 +247,9 @@
     );
     assert_eq!(
         heard,
-        membership.member(NodeId(0)).and_then(|member| member.heard)
+        membership
+            .member(NodeId(0))
+            .and_then(|member| member.last_heard_at)
     );
     // The number of acks in response to a flood stays within the burst.
     let ack_count: usize = (0..10_000)
@@ -261,10 +271,10 @@
     let measure_traffic = |nodes: usize| {
         let mut network = Network::new(nodes, MembershipConfig::default(), 1);
         network.start_all();
-        network.play(Span::ms(15_000));
+        network.run_for(Span::ms(15_000));
         let sent_before = network.links.sent;
         let bytes_before = network.links.sent_bytes;
-        network.play(Span::ms(10_000));
+        network.run_for(Span::ms(10_000));
         let per_second = |count: u64| count as f64 / 10.0 / nodes as f64;
         Traffic {
             datagrams: per_second(network.links.sent - sent_before),
--- a/crates/membership/tests/recorded_datagrams.rs
+++ b/crates/membership/tests/recorded_datagrams.rs
@@ -1,7 +1,7 @@
 //! Recorded datagrams of every kind, byte for byte. A fleet is updated node by node, so the
 //! encoding must not change without a new protocol version.
 use quartzhub_membership::wire::{
-    decode_datagram, fleet, Entry, Head, MessageKind, Packet, VERSION,
+    decode_datagram, fleet_hash, Entry, Head, MessageKind, Packet, VERSION,
 };
 use quartzhub_membership::{DrainOverride, Membership, MembershipConfig, NodeId, ServerId};
 use quartzhub_policy::Time;
@@ -24,7 +24,7 @@
 }
 
 fn datagram(head: &Head, entries: &[Entry]) -> Vec<u8> {
-    let mut packet = Packet::new(VERSION, fleet(FLEET), head);
+    let mut packet = Packet::new(VERSION, fleet_hash(FLEET), head);
     for entry in entries {
         assert!(packet.add(entry));
     }
@@ -36,7 +36,7 @@
     let bytes = datagram(&head, entries);
     assert_eq!(hex(&bytes), expected);
     assert_eq!(
-        decode_datagram(&bytes, fleet(FLEET)),
+        decode_datagram(&bytes, fleet_hash(FLEET)),
         Ok((head, entries.to_vec()))
     );
 }
@@ -132,7 +132,7 @@
 #[test]
 fn server_id_is_the_recorded_hash() {
     assert_eq!(
-        hex(&ServerId::named("10.0.0.1:9001").0.to_le_bytes()),
+        hex(&ServerId::from_endpoint_id("10.0.0.1:9001").0.to_le_bytes()),
         "5613c33f8ffed510"
     );
 }
@@ -140,14 +140,26 @@
 /// Two nodes discover each other, one issues a drain override, and the other leaves.
 #[test]
 fn two_nodes_send_the_recorded_datagrams() {
-    let mut issuer = Membership::new(NodeId(0), 3, fleet(FLEET), 7, MembershipConfig::default());
-    let mut leaver = Membership::new(NodeId(1), 3, fleet(FLEET), 8, MembershipConfig::default());
+    let mut issuer = Membership::new(
+        NodeId(0),
+        3,
+        fleet_hash(FLEET),
+        7,
+        MembershipConfig::default(),
+    );
+    let mut leaver = Membership::new(
+        NodeId(1),
+        3,
+        fleet_hash(FLEET),
+        8,
+        MembershipConfig::default(),
+    );
     issuer.start(Time(0));
     leaver.start(Time(0));
     let mut sent = Vec::new();
     let mut now = Time(0);
     for step in 0..60 {
-        now = issuer.due().min(leaver.due()).max(now);
+        now = issuer.next_tick_at().min(leaver.next_tick_at()).max(now);
         let mut from_issuer = Vec::new();
         let mut from_leaver = Vec::new();
         issuer.tick(now, &mut from_issuer);
@@ -174,7 +186,7 @@
     let all: String = sent.iter().map(|datagram| hex(&datagram.bytes)).collect();
     assert_eq!(sent.len(), 332);
     // `fleet` returns the CRC32 of a text.
-    let checksum_of_all = fleet(&all);
+    let checksum_of_all = fleet_hash(&all);
     assert_eq!(format!("{checksum_of_all:08x}"), "edc92654");
     let last = sent.last().map(|datagram| hex(&datagram.bytes));
     assert_eq!(
--- a/crates/node/src/peers/coordination.rs
+++ b/crates/node/src/peers/coordination.rs
@@ -20,7 +20,7 @@
             return;
         };
         let mut coordinator = coordinator.borrow_mut();
-        if now < coordinator.due() {
+        if now < coordinator.next_tick_at() {
             return;
         }
         coordinator.set_own_load(executor.query(Reducer::load));
@@ -32,7 +32,7 @@
     fn other_members(&self) -> Vec<NodeId> {
         let membership = self.membership.borrow();
         membership
-            .all()
+            .all_nodes()
             .filter(|(id, member)| member.state.is_member() && *id != membership.me())
             .map(|(id, _)| id)
             .collect()
--- a/crates/node/src/peers/drain_overrides.rs
+++ b/crates/node/src/peers/drain_overrides.rs
@@ -30,7 +30,7 @@
 impl From<OverrideRejected> for DrainOverrideError {
     fn from(rejected: OverrideRejected) -> DrainOverrideError {
         match rejected {
-            OverrideRejected::Started => DrainOverrideError::JustStarted,
+            OverrideRejected::NotJoined => DrainOverrideError::JustStarted,
             OverrideRejected::Full => DrainOverrideError::Full,
         }
     }
@@ -44,7 +44,7 @@
         id: &str,
         drain: bool,
     ) -> Result<DrainOverride, DrainOverrideError> {
-        let server = ServerId::named(id);
+        let server = ServerId::from_endpoint_id(id);
         if drain {
             executor.query(|reducer| reducer.check_drainable(id))?;
         } else if !self.has_drain_override(server) {
--- a/crates/node/src/peers/logging.rs
+++ b/crates/node/src/peers/logging.rs
@@ -40,7 +40,7 @@
         {
             log_state_change(change);
         }
-        let is_isolated = membership.hears_nobody(self.clock.now());
+        let is_isolated = membership.receives_no_responses(self.clock.now());
         if is_isolated == self.logged.is_isolated.replace(is_isolated) {
             return;
         }
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 
 use quartzhub_coordination::{wire, Coordinator};
-use quartzhub_membership::wire::{fleet, MAX_DATAGRAM_BYTES};
+use quartzhub_membership::wire::{fleet_hash, MAX_DATAGRAM_BYTES};
 use quartzhub_membership::{Datagram, Membership, NodeId};
 use quartzhub_policy::Time;
 use tokio::net::UdpSocket;
@@ -93,7 +93,7 @@
     /// Receives datagrams and runs the timers; never returns.
     pub async fn run(self: Rc<Peers>, executor: Rc<EffectExecutor>) {
         loop {
-            let due = self.clock.instant(self.due());
+            let due = self.clock.instant(self.next_tick_at());
             let mut out = Vec::new();
             tokio::select! {
                 () = sleep_until(due) => {}
@@ -102,7 +102,7 @@
                 },
             }
             let now = self.clock.now();
-            if now >= self.membership.borrow().due() {
+            if now >= self.membership.borrow().next_tick_at() {
                 self.membership.borrow_mut().tick(now, &mut out);
             }
             self.tick_coordinator(now, &executor, &mut out);
@@ -113,10 +113,10 @@
         }
     }
 
-    fn due(&self) -> Time {
-        let membership = self.membership.borrow().due();
+    fn next_tick_at(&self) -> Time {
+        let membership = self.membership.borrow().next_tick_at();
         match &self.coordinator {
-            Some(coordinator) => membership.min(coordinator.borrow().due()),
+            Some(coordinator) => membership.min(coordinator.borrow().next_tick_at()),
             None => membership,
         }
     }
@@ -199,7 +199,7 @@
     let mut membership = Membership::new(
         NodeId(config.me),
         config.peers.len(),
-        fleet(&config.fleet),
+        fleet_hash(&config.fleet),
         seed,
         membership_config,
     );
@@ -211,7 +211,7 @@
     let mut coordinator = Coordinator::new(
         NodeId(config.me),
         config.peers.len(),
-        fleet(&config.fleet),
+        fleet_hash(&config.fleet),
         seed,
         quartzhub_coordination::CoordinationConfig::default(),
     );
--- a/crates/node/src/peers/view.rs
+++ b/crates/node/src/peers/view.rs
@@ -83,7 +83,7 @@
         let membership = self.membership.borrow();
         let now = self.clock.now();
         let nodes = membership
-            .all()
+            .all_nodes()
             .map(|(id, member)| self.node_view(now, id, member));
         let drain_overrides = membership
             .drain_overrides()
@@ -93,7 +93,7 @@
             incarnation: membership.incarnation(),
             members: membership.member_count(),
             configured: self.config.peers.len(),
-            hears_nobody: membership.hears_nobody(now),
+            hears_nobody: membership.receives_no_responses(now),
             local_health_score: membership.local_health_score(),
             changes: membership.change_count(),
             unknown_senders: self.unknown_senders.get(),
@@ -113,8 +113,8 @@
             addr: self.config.peers[id.index()],
             state: member.state,
             incarnation: member.incarnation,
-            since_ms: (now - member.since).as_ms(),
-            heard_ms: member.heard.map(|heard| (now - heard).as_ms()),
+            since_ms: (now - member.state_since).as_ms(),
+            heard_ms: member.last_heard_at.map(|heard| (now - heard).as_ms()),
             suspected_by: member
                 .suspectors
                 .iter()
--- a/crates/node/src/reducer/endpoint_events.rs
+++ b/crates/node/src/reducer/endpoint_events.rs
@@ -122,7 +122,7 @@
     /// Checks whether operators may drain a server by an override on this node.
     pub fn check_drainable(&self, id: &str) -> Result<(), DrainRejected> {
         let servers = &self.state.servers;
-        let Some(index) = find_server(servers, ServerId::named(id)) else {
+        let Some(index) = find_server(servers, ServerId::from_endpoint_id(id)) else {
             return Err(DrainRejected::UnknownServer);
         };
         if servers[index].is_origin {
--- a/crates/node/src/reducer/endpoint_list.rs
+++ b/crates/node/src/reducer/endpoint_list.rs
@@ -125,7 +125,7 @@
         from_unix: &impl Fn(Option<f64>) -> Option<Time>,
     ) -> AppliedEntry<'a> {
         let index = servers.intern(&entry.id);
-        let id = ServerId::named(&entry.id);
+        let id = ServerId::from_endpoint_id(&entry.id);
         let server = &mut servers[index];
         let listed_state = self.listed_state(server, entry);
         let started = start_time(server, entry, from_unix);
--- a/crates/node/tests/reducer/endpoint_list.rs
+++ b/crates/node/tests/reducer/endpoint_list.rs
@@ -13,7 +13,7 @@
     let mut harness = Harness::builder().start();
     let client = harness.add_client();
     harness.update_list(false, &[("b", 2, "in_service")]);
-    let drained = |ids: &[&str]| ids.iter().map(|id| ServerId::named(id)).collect();
+    let drained = |ids: &[&str]| ids.iter().map(|s| ServerId::from_endpoint_id(s)).collect();
     harness.call(client, "view", "c1", 400);
     harness.report("a is drained by an override", |reducer, now| {
         reducer.on_drain_overrides(now, drained(&["a", "o", "elsewhere"]))
--- a/crates/node/tests/reducer/endpoint_list_properties.rs
+++ b/crates/node/tests/reducer/endpoint_list_properties.rs
@@ -140,7 +140,10 @@
                 self.harness.update_list_from_entries(*complete, entries);
             }
             Step::Drain(ids) => {
-                let drained = ids.iter().map(|id| ServerId::named(id)).collect();
+                let drained = ids
+                    .iter()
+                    .map(|id| ServerId::from_endpoint_id(id))
+                    .collect();
                 self.harness.reducer.on_drain_overrides(now, drained);
             }
             Step::Call(product) => {
