--- a/crates/node/src/accept_failures.rs
+++ b/crates/node/src/accept_failures.rs
@@ -13,8 +13,8 @@
 /// When to accept again after a failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcceptRetry {
-    /// At once: only the failed connection was affected, and others may be queued behind it.
-    AtOnce,
+    /// Without a pause: only the failed connection was affected; more may be queued behind it.
+    Immediate,
     /// After a pause: the next accept would fail too.
     AfterPause,
 }
@@ -36,7 +36,7 @@
     pub fn on_failure(&mut self, error: &io::Error) -> AcceptRetry {
         if is_aborted_connection(error) && self.consecutive_aborted < MAX_CONSECUTIVE_ABORTED {
             self.consecutive_aborted += 1;
-            return AcceptRetry::AtOnce;
+            return AcceptRetry::Immediate;
         }
         self.consecutive_aborted = 0;
         AcceptRetry::AfterPause
--- a/crates/node/src/accept_failures/tests.rs
+++ b/crates/node/src/accept_failures/tests.rs
@@ -11,7 +11,7 @@
         for _ in 0..MAX_CONSECUTIVE_ABORTED {
             assert_eq!(
                 failures.on_failure(&error(libc::ECONNABORTED)),
-                AcceptRetry::AtOnce
+                AcceptRetry::Immediate
             );
         }
         assert_eq!(
@@ -27,7 +27,7 @@
     for _ in 0..10 * MAX_CONSECUTIVE_ABORTED {
         assert_eq!(
             failures.on_failure(&error(libc::EPROTO)),
-            AcceptRetry::AtOnce
+            AcceptRetry::Immediate
         );
         failures.on_accepted();
     }
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -80,7 +80,7 @@
                 });
             }
             Err(error) => match failures.on_failure(&error) {
-                AcceptRetry::AtOnce => {
+                AcceptRetry::Immediate => {
                     tracing::info!("admin API: accept failed for an aborted connection: {error}");
                     tokio::task::yield_now().await;
                 }
--- a/crates/node/src/clients/attributes.rs
+++ b/crates/node/src/clients/attributes.rs
@@ -37,7 +37,7 @@
         product: value_of("c"),
         tenant: value_of("t"),
         time_left: Span::from_ms(time_left_ms).min(limits.longest_client_timeout),
-        queued: Span::ZERO,
+        queueing_time: Span::ZERO,
         has_idempotency_key: value_of("k").is_some_and(|key| !key.is_empty()),
         is_client_retry: value_of("r") == Some("1"),
     })
--- a/crates/node/src/clients/attributes/tests.rs
+++ b/crates/node/src/clients/attributes/tests.rs
@@ -12,7 +12,7 @@
             product,
             tenant,
             time_left: remaining,
-            queued: Span::ZERO,
+            queueing_time: Span::ZERO,
             has_idempotency_key: false,
             is_client_retry: true
         }
--- a/crates/node/src/clients/commands.rs
+++ b/crates/node/src/clients/commands.rs
@@ -186,7 +186,7 @@
     match call {
         Ok(call) => {
             let attributes = RequestAttributes {
-                queued: command.received_at.map_or(Span::ZERO, |at| now - at),
+                queueing_time: command.received_at.map_or(Span::ZERO, |at| now - at),
                 ..call.attributes
             };
             reducer.on_call(now, id, call.request, attributes);
--- a/crates/node/src/effects.rs
+++ b/crates/node/src/effects.rs
@@ -139,15 +139,15 @@
         match effect {
             Effect::Connect {
                 upstream,
-                to,
-                origin,
+                address,
+                is_origin,
             } => {
-                let protocol = if origin {
+                let protocol = if is_origin {
                     Protocol::Http
                 } else {
                     Protocol::Resp
                 };
-                self.connect(upstream, to, protocol);
+                self.connect(upstream, address, protocol);
             }
             Effect::Write {
                 upstream,
--- a/crates/node/src/messages.rs
+++ b/crates/node/src/messages.rs
@@ -21,9 +21,9 @@
         /// The new connection.
         upstream: UpstreamId,
         /// The server's address.
-        to: SocketAddr,
-        /// The server is the origin, not a cache.
-        origin: bool,
+        address: SocketAddr,
+        /// Whether the server is the origin instead of a cache.
+        is_origin: bool,
     },
     /// Write the request of an attempt.
     Write {
@@ -150,7 +150,7 @@
     /// Remaining time until the client times out.
     pub time_left: Span,
     /// Queueing time of the command behind other commands of its client, included in `time_left`.
-    pub queued: Span,
+    pub queueing_time: Span,
     /// Whether the call has an idempotency key, by which servers recognize a repeated write.
     pub has_idempotency_key: bool,
     /// Whether the call is a retry by the client.
--- a/crates/node/src/reducer/attempts.rs
+++ b/crates/node/src/reducer/attempts.rs
@@ -59,7 +59,7 @@
         };
         let server = record.server;
         let latest_connect = record.deadline.min(record.write_by);
-        let Some(to) = self.servers[server].addr else {
+        let Some(address) = self.servers[server].addr else {
             return self.finish_attempt(attempt, Outcome::Unreachable);
         };
         if self.is_short_of_sockets() && !self.free_socket_for_upstream() {
@@ -79,8 +79,8 @@
         }
         self.effects.push_back(Effect::Connect {
             upstream: id,
-            to,
-            origin: self.servers[server].is_origin,
+            address,
+            is_origin: self.servers[server].is_origin,
         });
     }
 
--- a/crates/node/src/reducer/call_events.rs
+++ b/crates/node/src/reducer/call_events.rs
@@ -90,7 +90,7 @@
     /// for the network and the time for which the command lay unread. During a graceful shutdown
     /// it ends at the response deadline at the latest.
     fn time_left(&self, now: Time, attributes: &RequestAttributes) -> Span {
-        let unread = self.state.stall_duration().max(attributes.queued);
+        let unread = self.state.stall_duration().max(attributes.queueing_time);
         let allowance = self.state.limits.network_allowance;
         let time_left = Span((attributes.time_left.0 - allowance.0 - unread.0).max(0));
         match self.state.response_deadline {
--- a/crates/node/tests/reducer/trace.rs
+++ b/crates/node/tests/reducer/trace.rs
@@ -4,8 +4,10 @@
 /// Returns an effect in the format of the trace.
 pub fn describe(effect: Effect) -> String {
     match effect {
-        Effect::Connect { upstream, to, .. } => {
-            format!("connect {} to {}", upstream.0, to.port())
+        Effect::Connect {
+            upstream, address, ..
+        } => {
+            format!("connect {} to {}", upstream.0, address.port())
         }
         Effect::Write {
             upstream,
