--- a/crates/node/src/clients/accept.rs
+++ b/crates/node/src/clients/accept.rs
@@ -99,7 +99,7 @@
             // With all descriptors in use, accept fails at once and would be retried in a busy
             // loop. Instead an idle connection is closed, and the next client is accepted after
             // that.
-            match self.free_capacity() {
+            match self.ensure_accept_capacity() {
                 AcceptCapacity::Free => self.accept_next().await,
                 AcceptCapacity::Soon => tokio::task::yield_now().await,
                 AcceptCapacity::None => self.wait_for_descriptor().await,
@@ -111,7 +111,8 @@
     /// runtime may not have seen them yet.
     async fn empty_listen_queue(&mut self) {
         for _ in 0..MAX_FINAL_ACCEPTS {
-            if !is_readable(&self.listener) || self.free_capacity() != AcceptCapacity::Free {
+            if !is_readable(&self.listener) || self.ensure_accept_capacity() != AcceptCapacity::Free
+            {
                 return;
             }
             // Lets the runtime poll its sockets.
@@ -127,9 +128,9 @@
         }
     }
 
-    fn free_capacity(&self) -> AcceptCapacity {
+    fn ensure_accept_capacity(&self) -> AcceptCapacity {
         self.executor
-            .report(|reducer, now| reducer.free_capacity(now))
+            .report(|reducer, now| reducer.ensure_accept_capacity(now))
     }
 
     async fn wait_for_descriptor(&mut self) {
--- a/crates/node/src/reducer/client_events.rs
+++ b/crates/node/src/reducer/client_events.rs
@@ -71,7 +71,7 @@
 
     /// Returns whether one more client can be accepted. If not, an idle connection is closed to
     /// free a socket: that of an evictable client, or else the upstream that has been idle longest.
-    pub fn free_capacity(&mut self, now: Time) -> AcceptCapacity {
+    pub fn ensure_accept_capacity(&mut self, now: Time) -> AcceptCapacity {
         self.advance_clock(now);
         let state = &mut self.state;
         let client_limit = state.limits.sockets - state.limits.server_only_sockets;
--- a/crates/node/src/reducer/mod.rs
+++ b/crates/node/src/reducer/mod.rs
@@ -110,7 +110,7 @@
         self.products = products(settings);
         let new_limits = self.state.limits.retuned(settings);
         let replaced = std::mem::replace(&mut self.state.limits, new_limits);
-        let shortest_shutdown = match self.limits_before(now) {
+        let shortest_shutdown = match self.previous_limits(now) {
             Some(earlier) if earlier.shutdown_limit < replaced.shutdown_limit => earlier.clone(),
             _ => replaced,
         };
@@ -128,7 +128,7 @@
 
     /// Returns the limits in force before the settings last changed, if that change is so recent
     /// that clients may still use the earlier settings.
-    pub fn limits_before(&self, now: Time) -> Option<&Limits> {
+    pub fn previous_limits(&self, now: Time) -> Option<&Limits> {
         let replaced = self.replaced_limits.as_ref()?;
         let is_recent = now - replaced.replaced_at < self.state.limits.settings_propagation;
         is_recent.then_some(&replaced.limits)
--- a/crates/node/src/reducer/upstream_events.rs
+++ b/crates/node/src/reducer/upstream_events.rs
@@ -98,7 +98,7 @@
 
     /// Handles a connect that failed because this machine lacks a resource, such as descriptors or
     /// ports. The server is not blamed.
-    pub fn on_connect_failed(&mut self, now: Time, id: UpstreamId) {
+    pub fn on_local_connect_failure(&mut self, now: Time, id: UpstreamId) {
         self.advance_clock(now);
         if let Some(Upstream {
             current_use: UpstreamUse::Connecting { attempt },
@@ -137,7 +137,7 @@
 
     /// Returns whether, on the client's connection, no API call is pending after the one whose
     /// response is received on this upstream.
-    pub fn is_only_open_call(&self, id: UpstreamId) -> bool {
+    pub fn has_no_later_call(&self, id: UpstreamId) -> bool {
         let upstream = self.state.upstreams.get(id);
         let Some(attempt) = upstream.and_then(Upstream::attempt_in_flight) else {
             return true;
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -58,7 +58,7 @@
         executor.query(|reducer| {
             let schedule = Schedule::of(reducer.limits());
             let before = reducer
-                .limits_before(executor.clock.now())
+                .previous_limits(executor.clock.now())
                 .map(Schedule::of);
             before.map_or(schedule, |before| schedule.earliest(before))
         })
--- a/crates/node/src/upstreams/connection.rs
+++ b/crates/node/src/upstreams/connection.rs
@@ -47,7 +47,7 @@
         tracing::warn!(server = %address, %error, "connecting to {address} failed: {error}");
     }
     if failure.is_some_and(|error| !is_server_fault(&error)) {
-        executor.report(|reducer, now| reducer.on_connect_failed(now, upstream.id));
+        executor.report(|reducer, now| reducer.on_local_connect_failure(now, upstream.id));
         executor.close_upstream(upstream.id);
     } else {
         report_broken(executor, upstream);
--- a/crates/node/src/upstreams/streaming.rs
+++ b/crates/node/src/upstreams/streaming.rs
@@ -45,9 +45,9 @@
         }
         let terminator = self.protocol.value_terminator();
         let complete = bytes.len() >= offset + size + terminator.len();
-        let only_call = executor.query(|reducer| reducer.is_only_open_call(self.id));
-        self.buffers_whole_value.set(!only_call);
-        if !only_call && !complete {
+        let has_no_later_call = executor.query(|reducer| reducer.has_no_later_call(self.id));
+        self.buffers_whole_value.set(!has_no_later_call);
+        if !has_no_later_call && !complete {
             return None;
         }
         self.keep_alive
--- a/crates/node/tests/reducer/clients.rs
+++ b/crates/node/tests/reducer/clients.rs
@@ -41,7 +41,7 @@
     let new_clients: Vec<_> = (0..7).map(|_| harness.add_client()).collect();
     harness.advance(50);
     harness.report("another client", |reducer, now| {
-        assert_eq!(reducer.free_capacity(now), AcceptCapacity::Soon)
+        assert_eq!(reducer.ensure_accept_capacity(now), AcceptCapacity::Soon)
     });
     assert_eq!(new_clients[0], ClientId(3));
     expect![[r#"
@@ -174,7 +174,7 @@
     let now = harness.time();
     let mut capacities = Vec::new();
     for _ in 0..3 {
-        capacities.push(harness.reducer.free_capacity(now));
+        capacities.push(harness.reducer.ensure_accept_capacity(now));
         harness.note("another client");
     }
     harness.trace += &format!("{capacities:?}\n");
--- a/crates/node/tests/reducer/endpoint_list_properties.rs
+++ b/crates/node/tests/reducer/endpoint_list_properties.rs
@@ -167,7 +167,7 @@
         let reducer = &mut self.harness.reducer;
         match (event, was_connected) {
             (UpstreamEvent::Broken, true) => reducer.on_connection_broken(now, id),
-            (UpstreamEvent::Broken, false) => reducer.on_connect_failed(now, id),
+            (UpstreamEvent::Broken, false) => reducer.on_local_connect_failure(now, id),
             (_, false) => reducer.on_connected(now, id),
             (UpstreamEvent::Value, true) => reducer.on_response(now, id, value("v")),
             (UpstreamEvent::Miss, true) => reducer.on_response(now, id, failure(Outcome::Miss)),
--- a/crates/node/tests/reducer/random.rs
+++ b/crates/node/tests/reducer/random.rs
@@ -85,7 +85,7 @@
             }
             (false, 1) => {
                 self.upstreams.remove(&upstream);
-                reducer.on_connect_failed(now, upstream);
+                reducer.on_local_connect_failure(now, upstream);
             }
             (false, _) => {
                 self.upstreams.insert(upstream, true);
