--- a/crates/lab/tests/docs.rs
+++ b/crates/lab/tests/docs.rs
@@ -47,9 +47,9 @@
             );
             let read = read.unwrap_or_else(|error| panic!("{page}: {error}"));
             assert!(
-                read.ignored_faults.is_empty(),
+                read.ignored_errors.is_empty(),
                 "{page}: {:?}",
-                read.ignored_faults
+                read.ignored_errors
             );
             checked += 1;
         }
--- a/crates/node/src/clients/closing.rs
+++ b/crates/node/src/clients/closing.rs
@@ -94,7 +94,9 @@
         }
         let now = self.executor.clock.now();
         let remaining = self.partial_since(now) + limits.partial_command_timeout - now;
-        remaining.min(limits.final_partial_command).max(Span::ZERO)
+        remaining
+            .min(limits.final_partial_command_timeout)
+            .max(Span::ZERO)
     }
 
     /// Frees the buffer, then reads and discards until the client disconnects.
--- a/crates/node/src/clients/memory_budget.rs
+++ b/crates/node/src/clients/memory_budget.rs
@@ -33,7 +33,7 @@
         let executor = self.executor;
         let deadline = executor
             .clock
-            .instant(executor.clock.now() + executor.limits.capacity_wait);
+            .instant(executor.clock.now() + executor.limits.memory_wait_timeout);
         loop {
             let others = executor.reserved_buffer_bytes.get() - self.bytes
                 + executor.query(Reducer::buffered_bytes);
--- a/crates/node/src/commands.rs
+++ b/crates/node/src/commands.rs
@@ -58,7 +58,7 @@
 pub fn check(config_file: Option<String>) -> Result<(), CommandError> {
     let (file, config) = read_config(config_file)?;
     let file = file.display();
-    for error in &config.ignored_faults {
+    for error in &config.ignored_errors {
         tracing::error!(target: LOG_TARGET, "{file}: {error}");
     }
     println!("{file}: can be served");
--- a/crates/node/src/config/check.rs
+++ b/crates/node/src/config/check.rs
@@ -29,14 +29,14 @@
         document: &BTreeMap<String, Value>,
         environment: Environment,
     ) -> Result<Config, ConfigError> {
-        let mut ignored_faults = Vec::new();
+        let mut ignored_errors = Vec::new();
         let listen = address_variable(LISTEN_VARIABLE, environment.listen)?.or(file.listen);
-        let settings = checked_settings(&file.settings, &mut ignored_faults)?;
-        let known = known_endpoints(std::mem::take(&mut file.known), &mut ignored_faults);
+        let settings = checked_settings(&file.settings, &mut ignored_errors)?;
+        let known = known_endpoints(std::mem::take(&mut file.known), &mut ignored_errors);
         check_machine_limits(
             &mut file.limits,
             environment.max_descriptors,
-            &mut ignored_faults,
+            &mut ignored_errors,
         )?;
         let descriptor = environment
             .inherited_descriptor
@@ -44,7 +44,7 @@
             .transpose()?;
         let admin_address =
             address_variable(ADMIN_VARIABLE, environment.admin_listen)?.or(file.ops);
-        let membership = checked_membership(&file, &settings, &mut ignored_faults)?;
+        let membership = checked_membership(&file, &settings, &mut ignored_errors)?;
         let mut limits = Limits::new(file.limits, &settings);
         if descriptor.is_some() {
             limits = limits.with_shared_listener();
@@ -64,7 +64,7 @@
             known_endpoints: known,
             limits,
             membership,
-            ignored_faults,
+            ignored_errors,
             machine_limits: file.limits,
             key_paths: document_key_paths(document),
             source: None,
@@ -75,12 +75,12 @@
 
 /// Returns the endpoint list that the node starts with. A malformed list is ignored, so that an old
 /// list does not keep the node from starting: discovery has a newer one.
-fn known_endpoints(list: Value, ignored_faults: &mut Vec<ConfigError>) -> EndpointListUpdate {
+fn known_endpoints(list: Value, ignored_errors: &mut Vec<ConfigError>) -> EndpointListUpdate {
     if list.is_null() {
         return EndpointListUpdate::default();
     }
     serde_path_to_error::deserialize(list).unwrap_or_else(|error| {
-        ignored_faults.push(with_key("known.", error));
+        ignored_errors.push(with_key("known.", error));
         EndpointListUpdate::default()
     })
 }
@@ -90,7 +90,7 @@
 fn check_machine_limits(
     limits: &mut MachineLimits,
     max_descriptors: Option<usize>,
-    ignored_faults: &mut Vec<ConfigError>,
+    ignored_errors: &mut Vec<ConfigError>,
 ) -> Result<(), ConfigError> {
     let MachineLimits { memory_mb, sockets } = *limits;
     if memory_mb.is_nan() || memory_mb < MIN_MEMORY_MB {
@@ -103,7 +103,7 @@
     }
     if let Some(max) = max_descriptors.filter(|max| *max < sockets) {
         let reason = format!("{sockets} is more than the process may open; lowered to {max}");
-        ignored_faults.push(ConfigError::invalid_value("limits.sockets", reason));
+        ignored_errors.push(ConfigError::invalid_value("limits.sockets", reason));
         limits.sockets = max;
     }
     Ok(())
@@ -112,7 +112,7 @@
 fn checked_membership(
     file: &ConfigFile,
     settings: &Settings,
-    ignored_faults: &mut Vec<ConfigError>,
+    ignored_errors: &mut Vec<ConfigError>,
 ) -> Result<Option<PeerConfig>, ConfigError> {
     let membership = PeerConfig::checked(
         file.membership,
@@ -121,10 +121,10 @@
         file.fleet.clone(),
         &file.membership_without,
         settings,
-        ignored_faults,
+        ignored_errors,
     )?;
     if file.shared && membership.is_none() {
-        ignored_faults.push(ConfigError::invalid_value(
+        ignored_errors.push(ConfigError::invalid_value(
             "shared",
             "ignored, as membership is off",
         ));
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -50,7 +50,7 @@
     /// The other nodes of the fleet; `None` if membership is off.
     pub membership: Option<PeerConfig>,
     /// Errors that don't keep the node from starting; they are logged.
-    pub ignored_faults: Vec<ConfigError>,
+    pub ignored_errors: Vec<ConfigError>,
     /// Machine limits that `limits` were derived from.
     machine_limits: MachineLimits,
     /// Paths of the file's keys, except those within the list of known servers.
--- a/crates/node/src/config/reload.rs
+++ b/crates/node/src/config/reload.rs
@@ -33,7 +33,7 @@
             self.discovery_in_file = new.discovery_in_file;
             self.discovery = new.discovery_in_file;
         }
-        self.ignored_faults = new.ignored_faults;
+        self.ignored_errors = new.ignored_errors;
         self.settings = new.settings;
         Ok(ReloadSummary {
             needs_restart,
--- a/crates/node/src/config/settings.rs
+++ b/crates/node/src/config/settings.rs
@@ -108,7 +108,7 @@
 /// Validates the settings and returns them in the form that the policy reads.
 pub(super) fn checked_settings(
     settings: &Value,
-    ignored_faults: &mut Vec<ConfigError>,
+    ignored_errors: &mut Vec<ConfigError>,
 ) -> Result<Settings, ConfigError> {
     if !settings.is_object() {
         return Err(invalid("", "an object is needed"));
@@ -124,7 +124,7 @@
     }
     check_node_count(settings)?;
     check_tenants(settings)?;
-    check_products(products, ignored_faults)?;
+    check_products(products, ignored_errors)?;
     Ok(Settings::from_document(settings))
 }
 
@@ -170,7 +170,7 @@
 
 fn check_products(
     products: &[Value],
-    ignored_faults: &mut Vec<ConfigError>,
+    ignored_errors: &mut Vec<ConfigError>,
 ) -> Result<(), ConfigError> {
     let mut names = BTreeSet::new();
     for (i, product) in products.iter().enumerate() {
@@ -187,7 +187,7 @@
         if !has_known_effect(product) {
             let reason =
                 "not one of idempotent, deduplicated and at_most_once; treated as at_most_once";
-            ignored_faults.push(invalid(&format!("{path}.Effect"), reason));
+            ignored_errors.push(invalid(&format!("{path}.Effect"), reason));
         }
     }
     Ok(())
--- a/crates/node/src/config/tests.rs
+++ b/crates/node/src/config/tests.rs
@@ -6,7 +6,7 @@
     match Config::parse(text, Environment::default()) {
         Ok(config) => {
             let ignored = config
-                .ignored_faults
+                .ignored_errors
                 .iter()
                 .map(|error| format!(" ({error})"));
             format!(
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -179,7 +179,7 @@
 /// configuration.
 fn report_listening(config: &Config, executor: &Rc<EffectExecutor>, listen: SocketAddr) {
     executor.report(|reducer, _| reducer.on_listening());
-    for error in &config.ignored_faults {
+    for error in &config.ignored_errors {
         tracing::warn!("configuration: {error}");
     }
     tracing::info!(node = config.name, %listen, "{} serves on {listen}", config.name);
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -80,7 +80,7 @@
     /// Most bytes read from a socket at once.
     pub read_bytes: usize,
     /// How long a client with a large command waits for memory.
-    pub capacity_wait: Span,
+    pub memory_wait_timeout: Span,
 
     // Connections to servers.
     /// Timeout of a connect to a server.
@@ -96,7 +96,7 @@
     pub deadline_slack: Span,
     /// Fraction of the time left, from 0 to 1, that writing a large value may take in addition to
     /// `deadline_slack`.
-    pub large_value_write_share: f64,
+    pub large_value_write_fraction: f64,
     /// Longest time between two reads of the same response.
     pub response_gap_timeout: Span,
     /// How long the server or the client of a streamed value may make no progress.
@@ -180,19 +180,19 @@
 
     // Shutdown; durations are measured from SIGTERM.
     /// Shortest time for which new connections are still accepted.
-    pub shutdown_accept: Span,
+    pub shutdown_accept_min: Span,
     /// Time without a new connection after which the process may exit early.
-    pub shutdown_quiet: Span,
+    pub shutdown_quiet_period: Span,
     /// Until when clients are served as before.
-    pub shutdown_serve: Span,
+    pub shutdown_serve_until: Span,
     /// Until when every API call gets its final response.
-    pub shutdown_respond: Span,
+    pub shutdown_respond_until: Span,
     /// When the clients that are still connected are closed.
-    pub shutdown_disconnect: Span,
+    pub shutdown_disconnect_at: Span,
     /// When the exit begins at the latest.
-    pub shutdown_limit: Span,
+    pub shutdown_exit_at: Span,
     /// Time from which a further stall no longer postpones the exit.
-    pub shutdown_final_reads: Span,
+    pub shutdown_final_reads_until: Span,
     /// Polls at the exit, or after a stall during it, in which clients are still read and closed.
     pub shutdown_final_polls: u32,
     /// Delay between two polls of whether the shutdown is complete.
@@ -209,13 +209,13 @@
     // Draining of clients; durations are measured from the operators' request, or from the SIGTERM
     // of a process that hands its clients over.
     /// Time until the front load balancer no longer sends new clients.
-    pub leave_notice: Span,
+    pub drain_notice: Span,
     /// Time after which a client is closed as soon as it is idle, however briefly.
-    pub leave_close_any_pause: Span,
+    pub drain_close_idle_after: Span,
     /// Time after which no further commands are read from clients.
-    pub leave_stop_reading: Span,
+    pub drain_stop_reading_after: Span,
     /// How long a client that is about to be closed may take for the rest of a partial command.
-    pub final_partial_command: Span,
+    pub final_partial_command_timeout: Span,
 
     // Admin API.
     /// Most connections to the admin API at once.
--- a/crates/node/src/limits/derived.rs
+++ b/crates/node/src/limits/derived.rs
@@ -84,7 +84,7 @@
 
     /// Returns these limits with the timeouts that follow from `settings`, for settings that are
     /// reloaded while the node runs.
-    pub fn retuned(&self, settings: &Settings) -> Limits {
+    pub fn with_settings(&self, settings: &Settings) -> Limits {
         let mut limits = self.clone();
         limits.set_timeouts(settings);
         limits
@@ -160,11 +160,12 @@
         let client_timeout = longest_timeout
             .unwrap_or(DEFAULT_CLIENT_TIMEOUT)
             .min(MAX_SHUTDOWN_TIMEOUT);
-        self.shutdown_serve = client_timeout + SERVE_AFTER;
-        self.shutdown_respond = client_timeout + RESPOND_AFTER;
-        self.shutdown_disconnect = client_timeout + DISCONNECT_AFTER;
-        self.shutdown_limit =
+        self.shutdown_serve_until = client_timeout + SERVE_AFTER;
+        self.shutdown_respond_until = client_timeout + RESPOND_AFTER;
+        self.shutdown_disconnect_at = client_timeout + DISCONNECT_AFTER;
+        self.shutdown_exit_at =
             client_timeout + Span::ms(KILL_AFTER_MS - MAX_STALL_MS - TIMER_LATENESS_MS);
-        self.shutdown_final_reads = client_timeout + Span::ms(KILL_AFTER_MS - TIMER_LATENESS_MS);
+        self.shutdown_final_reads_until =
+            client_timeout + Span::ms(KILL_AFTER_MS - TIMER_LATENESS_MS);
     }
 }
--- a/crates/node/src/limits/fixed.rs
+++ b/crates/node/src/limits/fixed.rs
@@ -40,7 +40,7 @@
     idle_buffer_bytes: 4 * KIB,
     streaming_window_bytes: 0,
     read_bytes: 16 * KIB,
-    capacity_wait: Span::ms(1_500),
+    memory_wait_timeout: Span::ms(1_500),
 
     connect_timeout: Span::ZERO,
     upstream_idle_timeout: Span::ZERO,
@@ -48,7 +48,7 @@
     upstream_reuse_delay: Span::ms(10),
     // Two thirds of what operators allow, as a stall of the process adds to it.
     deadline_slack: Span::ms(100),
-    large_value_write_share: 0.5,
+    large_value_write_fraction: 0.5,
     response_gap_timeout: Span::ZERO,
     streaming_stall_timeout: Span::ms(5_000),
 
@@ -87,13 +87,13 @@
     first_endpoint_list_timeout: Span::ms(1_500),
     first_peer_timeout: Span::ms(400),
 
-    shutdown_accept: Span::ms(500),
-    shutdown_quiet: Span::ms(150),
-    shutdown_serve: Span::ZERO,
-    shutdown_respond: Span::ZERO,
-    shutdown_disconnect: Span::ZERO,
-    shutdown_limit: Span::ZERO,
-    shutdown_final_reads: Span::ZERO,
+    shutdown_accept_min: Span::ms(500),
+    shutdown_quiet_period: Span::ms(150),
+    shutdown_serve_until: Span::ZERO,
+    shutdown_respond_until: Span::ZERO,
+    shutdown_disconnect_at: Span::ZERO,
+    shutdown_exit_at: Span::ZERO,
+    shutdown_final_reads_until: Span::ZERO,
     shutdown_final_polls: 4,
     shutdown_poll_interval: Span::ms(5),
 
@@ -102,11 +102,11 @@
     reload_retry_interval: Span::ms(50),
     settings_propagation: Span::ms(2_000),
 
-    leave_notice: Span::ms(350),
-    leave_close_any_pause: Span::ms(1_500),
+    drain_notice: Span::ms(350),
+    drain_close_idle_after: Span::ms(1_500),
     // 4 s after the drain began, no client may have sent a command within the last 2 s.
-    leave_stop_reading: Span::ms(1_700),
-    final_partial_command: Span::ms(500),
+    drain_stop_reading_after: Span::ms(1_700),
+    final_partial_command_timeout: Span::ms(500),
 
     // Some tools at once, and callers that keep a connection open with a partial request.
     admin_connections: 16,
--- a/crates/node/src/limits/tests.rs
+++ b/crates/node/src/limits/tests.rs
@@ -34,21 +34,21 @@
         );
         let client_timeout = Span::from_ms(timeout).min(Span::ms(3_000));
         let steps = [
-            limits.shutdown_serve,
-            limits.shutdown_respond + limits.call_overdue_after,
-            limits.shutdown_disconnect,
-            limits.shutdown_limit,
-            limits.shutdown_final_reads,
+            limits.shutdown_serve_until,
+            limits.shutdown_respond_until + limits.call_overdue_after,
+            limits.shutdown_disconnect_at,
+            limits.shutdown_exit_at,
+            limits.shutdown_final_reads_until,
         ];
         assert!(steps.is_sorted(), "{steps:?}");
         assert!(
-            limits.shutdown_limit + MAX_STALL < client_timeout + KILL_AFTER
-                && limits.shutdown_final_reads < client_timeout + KILL_AFTER
+            limits.shutdown_exit_at + MAX_STALL < client_timeout + KILL_AFTER
+                && limits.shutdown_final_reads_until < client_timeout + KILL_AFTER
         );
         // New connections keep arriving for 0.4 s after SIGTERM.
         assert!(
-            limits.shutdown_accept >= Span::ms(400)
-                && limits.shutdown_limit >= Span::ms(400) + client_timeout
+            limits.shutdown_accept_min >= Span::ms(400)
+                && limits.shutdown_exit_at >= Span::ms(400) + client_timeout
         );
     }
 }
--- a/crates/node/src/peers/config.rs
+++ b/crates/node/src/peers/config.rs
@@ -84,13 +84,13 @@
         fleet: Option<String>,
         disabled: &[String],
         settings: &Settings,
-        ignored_faults: &mut Vec<ConfigError>,
+        ignored_errors: &mut Vec<ConfigError>,
     ) -> Result<Option<PeerConfig>, ConfigError> {
         if !requested {
             return Ok(None);
         }
         if !settings.flag("caps.peers") {
-            ignored_faults.push(PeerConfigError::NotPermitted.into());
+            ignored_errors.push(PeerConfigError::NotPermitted.into());
             return Ok(None);
         }
         let listen = listen.ok_or(PeerConfigError::NoListenAddress)?;
@@ -102,7 +102,7 @@
         }
         let disabled_features = parse_disabled(disabled)?;
         for name in disabled {
-            ignored_faults.push(PeerConfigError::FeatureDisabled(name.clone()).into());
+            ignored_errors.push(PeerConfigError::FeatureDisabled(name.clone()).into());
         }
         Ok(Some(PeerConfig {
             listen,
--- a/crates/node/src/peers/tests.rs
+++ b/crates/node/src/peers/tests.rs
@@ -115,7 +115,7 @@
     let settings = serde_json::json!({ "Me": me, "Caps": { "Peers": true } });
     let settings = Settings::from_document(&settings);
     let disabled: Vec<String> = disabled.iter().map(|name| name.to_string()).collect();
-    let mut ignored_faults = Vec::new();
+    let mut ignored_errors = Vec::new();
     PeerConfig::checked(
         true,
         listen,
@@ -123,7 +123,7 @@
         None,
         &disabled,
         &settings,
-        &mut ignored_faults,
+        &mut ignored_errors,
     )
     .expect_err("the configuration is invalid")
     .to_string()
--- a/crates/node/src/reducer/attempts.rs
+++ b/crates/node/src/reducer/attempts.rs
@@ -150,7 +150,7 @@
             .as_ref()
             .is_some_and(|value| value.len() > self.limits.buffered_value_bytes);
         if is_large {
-            time_left.times(self.limits.large_value_write_share)
+            time_left.times(self.limits.large_value_write_fraction)
         } else {
             Span::ZERO
         }
--- a/crates/node/src/reducer/connections.rs
+++ b/crates/node/src/reducer/connections.rs
@@ -29,9 +29,9 @@
     /// service state requires.
     pub(super) fn on_service_leaving(&mut self) {
         for after in [
-            self.limits.leave_notice,
-            self.limits.leave_close_any_pause,
-            self.limits.leave_stop_reading,
+            self.limits.drain_notice,
+            self.limits.drain_close_idle_after,
+            self.limits.drain_stop_reading_after,
         ] {
             self.timers.schedule(self.now + after, Timer::IdleClients);
         }
--- a/crates/node/src/reducer/mod.rs
+++ b/crates/node/src/reducer/mod.rs
@@ -108,10 +108,10 @@
         self.product_counters =
             product_counters(&self.names, &mut self.state.counters, &self.state.limits);
         self.products = products(settings);
-        let new_limits = self.state.limits.retuned(settings);
+        let new_limits = self.state.limits.with_settings(settings);
         let replaced = std::mem::replace(&mut self.state.limits, new_limits);
         let shortest_shutdown = match self.previous_limits(now) {
-            Some(earlier) if earlier.shutdown_limit < replaced.shutdown_limit => earlier.clone(),
+            Some(older) if older.shutdown_exit_at < replaced.shutdown_exit_at => older.clone(),
             _ => replaced,
         };
         self.replaced_limits = Some(ReplacedLimits {
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -79,7 +79,7 @@
         ""
     };
     tracing::info!("configuration reloaded{settings}");
-    for error in &config.ignored_faults {
+    for error in &config.ignored_errors {
         tracing::warn!("configuration: {error}");
     }
     for key in &summary.needs_restart {
--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -83,22 +83,25 @@
     /// Whether no further commands are read from clients. Otherwise a client that always has a
     /// command pending would never be closed between responses.
     pub fn stops_reading(&self, now: Time, limits: &Limits) -> bool {
-        matches!(self.phase, Phase::Draining { since } if now - since >= limits.leave_stop_reading)
+        matches!(
+            self.phase,
+            Phase::Draining { since } if now - since >= limits.drain_stop_reading_after
+        )
     }
 
-    /// Returns what to do with idle clients. A draining node keeps them until `leave_notice` has
+    /// Returns what to do with idle clients. A draining node keeps them until `drain_notice` has
     /// passed, as the front load balancer would send them back here at once. From
-    /// `leave_close_any_pause` on they are closed however briefly they are idle, as some send
+    /// `drain_close_idle_after` on they are closed however briefly they are idle, as some send
     /// commands so often that they are never idle for long.
     pub fn idle_client_policy(&self, now: Time, limits: &Limits) -> IdleClientPolicy {
         let elapsed = match self.phase {
             Phase::Starting | Phase::Ready => return IdleClientPolicy::Keep,
-            Phase::Draining { since } if now - since < limits.leave_notice => {
+            Phase::Draining { since } if now - since < limits.drain_notice => {
                 return IdleClientPolicy::Keep
             }
             Phase::Draining { since } | Phase::Stopping { since } => now - since,
         };
-        IdleClientPolicy::CloseAfter(if elapsed < limits.leave_close_any_pause {
+        IdleClientPolicy::CloseAfter(if elapsed < limits.drain_close_idle_after {
             limits.final_read_window
         } else {
             Span::ZERO
--- a/crates/node/src/service/tests.rs
+++ b/crates/node/src/service/tests.rs
@@ -97,12 +97,12 @@
                 (None, None) => assert_eq!(stage(now + Span::ms(60_000)), 0, "{context}"),
                 (Some(since), _) => {
                     assert!(stage(now) > 0, "{context}");
-                    assert_eq!(stage(since + limits.leave_close_any_pause), 2, "{context}");
+                    assert_eq!(stage(since + limits.drain_close_idle_after), 2, "{context}");
                 }
                 (None, Some(since)) => {
                     assert_eq!(stage(since), 0, "{context}");
-                    assert!(stage(since + limits.leave_notice) > 0, "{context}");
-                    assert_eq!(stage(since + limits.leave_close_any_pause), 2, "{context}");
+                    assert!(stage(since + limits.drain_notice) > 0, "{context}");
+                    assert_eq!(stage(since + limits.drain_close_idle_after), 2, "{context}");
                 }
             }
         }
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -44,11 +44,11 @@
 impl Schedule {
     fn of(limits: &Limits) -> Schedule {
         Schedule {
-            serve_until: limits.shutdown_serve,
-            respond_by: limits.shutdown_respond,
-            disconnect_at: limits.shutdown_disconnect,
-            exit_at: limits.shutdown_limit,
-            postpone_until: limits.shutdown_final_reads,
+            serve_until: limits.shutdown_serve_until,
+            respond_by: limits.shutdown_respond_until,
+            disconnect_at: limits.shutdown_disconnect_at,
+            exit_at: limits.shutdown_exit_at,
+            postpone_until: limits.shutdown_final_reads_until,
         }
     }
 
@@ -205,8 +205,8 @@
     fn is_idle(&self, now: Time) -> bool {
         let limits = &self.executor.limits;
         let is_quiet = self.acceptor.as_ref().is_none_or(|acceptor| {
-            now - acceptor.last_accepted() >= limits.shutdown_quiet
-                && now - self.signalled_at >= limits.shutdown_accept
+            now - acceptor.last_accepted() >= limits.shutdown_quiet_period
+                && now - self.signalled_at >= limits.shutdown_accept_min
         });
         is_quiet
             && self.executor.query(Reducer::open_call_count) == 0
--- a/crates/node/tests/sockets/closing_races.rs
+++ b/crates/node/tests/sockets/closing_races.rs
@@ -25,9 +25,9 @@
     let cache = server("a", sender, |_| hit("v"));
     let node = embedded(&[("a", cache)], |limits| {
         limits.partial_command_timeout = unreached_limit();
-        limits.final_partial_command = unreached_limit();
-        limits.shutdown_disconnect = unreached_limit();
-        limits.shutdown_limit = unreached_limit();
+        limits.final_partial_command_timeout = unreached_limit();
+        limits.shutdown_disconnect_at = unreached_limit();
+        limits.shutdown_exit_at = unreached_limit();
     });
     let (mut idle, mut partial_client) = (node.client(), node.client());
     assert_eq!(
@@ -59,9 +59,9 @@
     let cache = server("a", sender, |_| hit("v"));
     let node = embedded(&[("a", cache)], |limits| {
         limits.partial_command_timeout = unreached_limit();
-        limits.final_partial_command = Span::ms(50);
-        limits.shutdown_disconnect = unreached_limit();
-        limits.shutdown_limit = unreached_limit();
+        limits.final_partial_command_timeout = Span::ms(50);
+        limits.shutdown_disconnect_at = unreached_limit();
+        limits.shutdown_exit_at = unreached_limit();
     });
     let mut partial_client = node.client();
     assert_eq!(partial_client.ask(&["PING"]), "+PONG");
--- a/crates/node/tests/sockets/shutdown.rs
+++ b/crates/node/tests/sockets/shutdown.rs
@@ -125,7 +125,7 @@
     let text = config(&[("a", cache)], "").replace("40000", "100");
     let mut config = Config::parse(&text, Environment::default()).expect("a configuration");
     config.limits.linger_timeout = Span::ms(EVENT_TIMEOUT.as_millis() as i64);
-    config.limits.shutdown_limit = Span::ms(EVENT_TIMEOUT.as_millis() as i64);
+    config.limits.shutdown_exit_at = Span::ms(EVENT_TIMEOUT.as_millis() as i64);
     let node = Embedded::start(config);
     let addr = node.addr;
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
