--- a/crates/lab/tests/coordination.rs
+++ b/crates/lab/tests/coordination.rs
@@ -17,13 +17,14 @@
 }
 
 impl BudgetShare {
-    /// Parses the node's log line "shared: may use {share} ..."; a killed process may use nothing.
+    /// Parses the node's log line "coordination: this node may use {share} ..."; a killed
+    /// process may use nothing.
     fn parse(event: &Event) -> Option<BudgetShare> {
         let share = match event.message.contains("SIGKILL") {
             true => 0.0,
             false => event
                 .message
-                .strip_prefix("shared: may use ")?
+                .strip_prefix("coordination: this node may use ")?
                 .split(' ')
                 .next()?
                 .parse()
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -86,7 +86,7 @@
     assert!(!removed("1") && !removed("2") && !removed("4") && removed("7"));
     let detects_isolation = |node: &str| {
         has_event(&outcome, |event| {
-            event.source == node && event.message.contains("nobody answers")
+            event.source == node && event.message.contains("no other node responds")
         })
     };
     assert!(
--- a/crates/node/src/clients/accept.rs
+++ b/crates/node/src/clients/accept.rs
@@ -187,7 +187,7 @@
 
     async fn on_failure(&mut self, error: io::Error) {
         if self.failures.on_failure(&error) == AcceptRetry::Immediate {
-            tracing::info!(%error, "accept failed for one connection only: {error}");
+            tracing::info!(%error, "accept failed for an aborted connection: {error}");
             return;
         }
         self.pause();
--- a/crates/node/src/peers/drain_overrides.rs
+++ b/crates/node/src/peers/drain_overrides.rs
@@ -17,13 +17,16 @@
     #[error(transparent)]
     NotDrainable(#[from] DrainRejected),
     /// There is no drain override that could be revoked.
-    #[error("no order about it is known")]
+    #[error("no drain override of this server is known")]
     Unknown,
     /// This node has just started and may not know the drain override in force.
-    #[error("this node has just started and may not know what holds; ask again in some seconds")]
+    #[error(
+        "this node has just started and may not know the drain override in force; \
+         retry in some seconds"
+    )]
     JustStarted,
     /// The limit on drained servers is reached.
-    #[error("as many servers are drained as orders are kept")]
+    #[error("the limit on drained servers is reached")]
     Full,
 }
 
--- a/crates/node/src/peers/logging.rs
+++ b/crates/node/src/peers/logging.rs
@@ -21,7 +21,10 @@
     pub(super) fn log_budget_share(&self, share: f64) {
         let logged = self.budget_share.replace(share);
         if (share - logged).abs() > MIN_SHARE_CHANGE {
-            tracing::info!(part = share, "shared: may use {share:.4} of each budget");
+            tracing::info!(
+                part = share,
+                "coordination: this node may use {share:.4} of each budget"
+            );
         }
     }
 }
@@ -47,7 +50,7 @@
         if is_isolated {
             tracing::warn!(
                 isolated = true,
-                "membership: nobody answers; who is alive is not known"
+                "membership: no other node responds; this node is isolated"
             );
         } else {
             tracing::warn!(
