--- a/crates/membership/src/table/transitions.rs
+++ b/crates/membership/src/table/transitions.rs
@@ -4,7 +4,7 @@
 use super::MemberTable;
 use crate::member::MemberState;
 use crate::wire::Entry;
-use crate::{Limits, NodeId};
+use crate::{MembershipConfig, NodeId};
 
 impl MemberTable {
     pub(crate) fn set_incarnation(&mut self, node: NodeId, incarnation: u32) {
@@ -132,7 +132,7 @@
         wants_full_table: bool,
     ) {
         if let Some(member) = self.members.get_mut(node.index()) {
-            member.heard = Some(now);
+            member.last_heard_at = Some(now);
             member.last_sequence = member.last_sequence.max(sequence);
             member.wants_full_table = wants_full_table;
         }
@@ -143,7 +143,7 @@
     pub(crate) fn expire_suspicions(
         &mut self,
         now: Time,
-        limits: &Limits,
+        config: &MembershipConfig,
         local_health_score: u32,
     ) -> Vec<Entry> {
         let mut rumors = Vec::new();
@@ -151,13 +151,13 @@
             let member = &self.members[i];
             let suspectors = member.suspectors.len();
             let timeout = if member.declared_dead_by.len() >= member.required_confirmations {
-                limits.confirmed_dead_timeout
+                config.confirmed_dead_timeout
             } else {
-                limits.suspicion_timeout(suspectors, local_health_score)
+                config.suspicion_timeout(suspectors, local_health_score)
             };
             if member.state != MemberState::Suspect
                 || suspectors < member.required_confirmations
-                || now - member.since < timeout
+                || now - member.state_since < timeout
             {
                 continue;
             }
@@ -174,7 +174,7 @@
     pub(crate) fn extend_suspicions(&mut self, stalled_for: Span) {
         for member in &mut self.members {
             if member.state == MemberState::Suspect {
-                member.since = member.since + stalled_for;
+                member.state_since = member.state_since + stalled_for;
             }
         }
     }
--- a/crates/node/src/peers/drain_overrides.rs
+++ b/crates/node/src/peers/drain_overrides.rs
@@ -17,20 +17,23 @@
     #[error(transparent)]
     NotDrainable(#[from] DrainRejected),
     /// There is no drain override that could be revoked.
-    #[error("no order about it is known")]
+    #[error("no drain override of this server is known")]
     Unknown,
     /// This node has just started and may not know the drain override in force.
-    #[error("this node has just started and may not know what holds; ask again in some seconds")]
+    #[error(
+        "this node has just started and may not know the drain override in force; \
+         retry in some seconds"
+    )]
     JustStarted,
     /// The limit on drained servers is reached.
-    #[error("as many servers are drained as orders are kept")]
+    #[error("the limit on drained servers is reached")]
     Full,
 }
 
 impl From<OverrideRejected> for DrainOverrideError {
     fn from(rejected: OverrideRejected) -> DrainOverrideError {
         match rejected {
-            OverrideRejected::Started => DrainOverrideError::JustStarted,
+            OverrideRejected::NotJoined => DrainOverrideError::JustStarted,
             OverrideRejected::Full => DrainOverrideError::Full,
         }
     }
@@ -44,7 +47,7 @@
         id: &str,
         drain: bool,
     ) -> Result<DrainOverride, DrainOverrideError> {
-        let server = ServerId::named(id);
+        let server = ServerId::from_endpoint_id(id);
         if drain {
             executor.query(|reducer| reducer.check_drainable(id))?;
         } else if !self.has_drain_override(server) {
--- a/crates/node/src/peers/logging.rs
+++ b/crates/node/src/peers/logging.rs
@@ -21,7 +21,10 @@
     pub(super) fn log_budget_share(&self, share: f64) {
         let logged = self.budget_share.replace(share);
         if (share - logged).abs() > MIN_SHARE_CHANGE {
-            tracing::info!(part = share, "shared: may use {share:.4} of each budget");
+            tracing::info!(
+                part = share,
+                "coordination: this node may use {share:.4} of each budget"
+            );
         }
     }
 }
@@ -40,14 +43,14 @@
         {
             log_state_change(change);
         }
-        let is_isolated = membership.hears_nobody(self.clock.now());
+        let is_isolated = membership.receives_no_responses(self.clock.now());
         if is_isolated == self.logged.is_isolated.replace(is_isolated) {
             return;
         }
         if is_isolated {
             tracing::warn!(
                 isolated = true,
-                "membership: nobody answers; who is alive is not known"
+                "membership: no other node responds; this node is isolated"
             );
         } else {
             tracing::warn!(
--- a/crates/node/src/reducer/endpoint_list.rs
+++ b/crates/node/src/reducer/endpoint_list.rs
@@ -125,7 +125,7 @@
         from_unix: &impl Fn(Option<f64>) -> Option<Time>,
     ) -> AppliedEntry<'a> {
         let index = servers.intern(&entry.id);
-        let id = ServerId::named(&entry.id);
+        let id = ServerId::from_endpoint_id(&entry.id);
         let server = &mut servers[index];
         let listed_state = self.listed_state(server, entry);
         let started = start_time(server, entry, from_unix);
@@ -157,7 +157,7 @@
     ) -> Endpoint<'a> {
         let is_terminated = entry.state.as_deref() == Some(TERMINATED);
         let named = EndpointEntry {
-            name: &entry.id,
+            id: &entry.id,
             zone: entry.zone.as_deref(),
             kind: entry.kind.as_deref(),
             cell: entry.cell,
--- a/crates/node/src/reducer/mod.rs
+++ b/crates/node/src/reducer/mod.rs
@@ -108,10 +108,10 @@
         self.product_counters =
             product_counters(&self.names, &mut self.state.counters, &self.state.limits);
         self.products = products(settings);
-        let new_limits = self.state.limits.retuned(settings);
+        let new_limits = self.state.limits.with_settings(settings);
         let replaced = std::mem::replace(&mut self.state.limits, new_limits);
-        let shortest_shutdown = match self.limits_before(now) {
-            Some(earlier) if earlier.shutdown_limit < replaced.shutdown_limit => earlier.clone(),
+        let shortest_shutdown = match self.previous_limits(now) {
+            Some(older) if older.shutdown_exit_at < replaced.shutdown_exit_at => older.clone(),
             _ => replaced,
         };
         self.replaced_limits = Some(ReplacedLimits {
@@ -128,7 +128,7 @@
 
     /// Returns the limits in force before the settings last changed, if that change is so recent
     /// that clients may still use the earlier settings.
-    pub fn limits_before(&self, now: Time) -> Option<&Limits> {
+    pub fn previous_limits(&self, now: Time) -> Option<&Limits> {
         let replaced = self.replaced_limits.as_ref()?;
         let is_recent = now - replaced.replaced_at < self.state.limits.settings_propagation;
         is_recent.then_some(&replaced.limits)
--- a/crates/policy/src/endpoint.rs
+++ b/crates/policy/src/endpoint.rs
@@ -22,9 +22,9 @@
     /// Returns the state of a server after an update of the list marks it as gone or omits it. If
     /// delisted servers stay usable, a server that was in service remains so: such a list does not
     /// prove that the server has stopped. Only draining ends its use.
-    pub fn after_removal(self, dropped_endpoints_stay_usable: bool) -> EndpointState {
+    pub fn after_removal(self, delisted_endpoints_stay_usable: bool) -> EndpointState {
         match self {
-            EndpointState::Ready if dropped_endpoints_stay_usable => EndpointState::Ready,
+            EndpointState::Ready if delisted_endpoints_stay_usable => EndpointState::Ready,
             _ => EndpointState::Gone,
         }
     }
@@ -36,7 +36,7 @@
     /// The server's index.
     pub server: ServerIndex,
     /// The server's id in the list.
-    pub name: &'a str,
+    pub id: &'a str,
     /// The zone's index in the settings; out of their range if unknown.
     pub zone: u32,
     /// The machine kind's index in the settings; out of their range if unknown.
--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -82,7 +82,7 @@
         self.now = now;
         self.endpoint_list.record_update();
         let removal = Removal {
-            stays_usable: self.dropped_endpoints_stay_usable,
+            stays_usable: self.delisted_endpoints_stay_usable,
             evidence_kept_ratio: self.outliers.delisted_success_ratio,
             now,
         };
@@ -138,7 +138,7 @@
         // A known server that returns keeps its moving average; only an unknown server gets a new
         // one.
         if !server.is_known() {
-            let position = unit_position(hash(endpoint.name));
+            let position = unit_position(hash(endpoint.id));
             server.initial_position = Some(position);
             server.moving_average = position;
         }
