--- a/crates/lab/src/clients/endpoint.rs
+++ b/crates/lab/src/clients/endpoint.rs
@@ -89,7 +89,7 @@
             }
             match idle.stream.get_ref().try_read(&mut [0; 1]) {
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Some(idle.stream),
-                Ok(1..) => monitor.answered(idle.last_call, self.node, CallEvent::Errored),
+                Ok(1..) => monitor.record_response(idle.last_call, self.node, CallEvent::Errored),
                 _ => self.ended_idle.set(self.ended_idle.get() + 1),
             }
         }
@@ -162,11 +162,11 @@
         if written.is_err() {
             return Exchange::NotWritten;
         }
-        monitor.taken(request.call, self.node, request.policy, request.deadline);
+        monitor.record_accepted(request.call, self.node, request.policy, request.deadline);
         let Some(response) = read_response(stream).await else {
             return Exchange::NoResponse;
         };
-        monitor.answered(request.call, self.node, response.call_event());
+        monitor.record_response(request.call, self.node, response.call_event());
         Exchange::Responded(response)
     }
 
@@ -180,7 +180,7 @@
         monitor: &RuleMonitor,
     ) {
         if !stream.buffer().is_empty() {
-            monitor.answered(last_call, self.node, CallEvent::Errored);
+            monitor.record_response(last_call, self.node, CallEvent::Errored);
             return;
         }
         self.idle.borrow_mut().push(IdleConnection {
--- a/crates/lab/src/clients/mod.rs
+++ b/crates/lab/src/clients/mod.rs
@@ -157,7 +157,7 @@
             product,
             policy: &self.policies[call.arrival.product],
             retry,
-            deadline: self.monitor.at(expires_at),
+            deadline: self.monitor.time_of(expires_at),
             expires_at,
         };
         let Some(endpoint) = self.pick_endpoint() else {
@@ -170,7 +170,9 @@
         let result = timeout_at(read_deadline, endpoint.send(&self.monitor, &request)).await;
         let mut attempt = result.unwrap_or(AttemptResult::new(CallOutcome::GaveUp));
         match attempt.outcome {
-            CallOutcome::GaveUp => self.monitor.record_client_left(call_id, endpoint.node),
+            CallOutcome::GaveUp => self
+                .monitor
+                .record_client_disconnect(call_id, endpoint.node),
             CallOutcome::Closed => self
                 .monitor
                 .record_connection_closed(call_id, endpoint.node),
--- a/crates/lab/src/fleet/process.rs
+++ b/crates/lab/src/fleet/process.rs
@@ -235,7 +235,7 @@
     /// Kills the process with SIGKILL. Its open API calls are lost; the rules exempt them.
     pub fn kill(&self) {
         self.exit_expected.set(true);
-        self.monitor.excuse(self.spec.node);
+        self.monitor.exempt_node(self.spec.node);
         if self.signal(Signal::KILL) {
             self.record("killed");
             self.set_state(ProcessState::Stopping);
@@ -256,7 +256,7 @@
     /// Suspends the process with SIGSTOP until it is resumed.
     pub fn pause(&self) {
         if self.state.get() == ProcessState::Up && self.signal(Signal::STOP) {
-            self.monitor.excuse(self.spec.node);
+            self.monitor.exempt_node(self.spec.node);
             self.record("paused");
             self.set_state(ProcessState::Paused);
         }
@@ -267,7 +267,7 @@
         if self.state.get() == ProcessState::Paused && self.signal(Signal::CONT) {
             // API calls accepted during the pause stay exempt from the rules: the process could
             // not see them in time.
-            self.monitor.resume(self.spec.node);
+            self.monitor.end_exemption(self.spec.node);
             self.record("resumed");
             self.set_state(ProcessState::Up);
         }
--- a/crates/lab/src/fleet/rig/verdict.rs
+++ b/crates/lab/src/fleet/rig/verdict.rs
@@ -144,7 +144,7 @@
     }
 
     pub(super) fn outcome(&self, report: Report, views: &MembershipViews) -> Outcome {
-        let (violations, violation_count) = self.monitor.verdict();
+        let (violations, violation_count) = self.monitor.violations();
         let start = self.event_log.start();
         let seconds_since_start = |at: &Time| (*at - start).seconds();
         Outcome {
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -74,7 +74,7 @@
 
 /// Returns an error with the history of the first offending API call if a rule was broken.
 fn check_rules(monitor: &RuleMonitor) -> Result<(), LabError> {
-    let (broken, count) = monitor.verdict();
+    let (broken, count) = monitor.violations();
     let Some(first) = broken.first() else {
         return Ok(());
     };
--- a/crates/lab/src/rule_monitor.rs
+++ b/crates/lab/src/rule_monitor.rs
@@ -43,7 +43,7 @@
     /// When to check an API call: for its final response, and later to discard it.
     due_checks: RefCell<BTreeSet<(Time, u64)>>,
     /// Nodes whose processes are suspended or are being killed.
-    excused_nodes: RefCell<BTreeSet<usize>>,
+    exempt_nodes: RefCell<BTreeSet<usize>>,
     grace: Span,
 }
 
@@ -58,7 +58,7 @@
             unavailable_since: RefCell::default(),
             open_calls: RefCell::default(),
             due_checks: RefCell::default(),
-            excused_nodes: RefCell::default(),
+            exempt_nodes: RefCell::default(),
             grace,
         });
         let periodic_monitor = monitor.clone();
@@ -98,11 +98,11 @@
 
     /// Returns the time since the monitor started.
     pub fn now(&self) -> Time {
-        self.at(Instant::now())
+        self.time_of(Instant::now())
     }
 
     /// Converts an instant of the system's clock to time since the monitor started.
-    pub fn at(&self, instant: Instant) -> Time {
+    pub fn time_of(&self, instant: Instant) -> Time {
         Time(
             instant
                 .saturating_duration_since(self.started_at)
@@ -112,14 +112,20 @@
 
     /// Records that a node has accepted an API call: its last byte was written to a connection that
     /// the node's machine accepted.
-    pub fn taken(&self, call: u64, node: usize, product: &Product, client_deadline: Time) {
+    pub fn record_accepted(
+        &self,
+        call: u64,
+        node: usize,
+        product: &Product,
+        client_deadline: Time,
+    ) {
         let mut checker = self.checker.borrow_mut();
         if checker.is_tracked(call) {
             return;
         }
         checker.record_accepted(self.now(), call, node, *product, client_deadline);
         // Between a signal and its effect, the kernel still accepts calls for the process.
-        if self.excused_nodes.borrow().contains(&node) {
+        if self.exempt_nodes.borrow().contains(&node) {
             checker.exempt(call);
         }
         self.open_calls
@@ -133,7 +139,7 @@
     }
 
     /// Records that a node sent an attempt at time `at`.
-    pub fn sent(&self, at: Time, call: u64, node: usize, server: usize) {
+    pub fn record_sent(&self, at: Time, call: u64, node: usize, server: usize) {
         let unavailable_since = self.unavailable_since.borrow();
         let since = unavailable_since.get(&(node, server)).copied();
         self.checker
@@ -143,14 +149,14 @@
 
     /// Records that a server has begun to execute the effect, or has found that the value is
     /// missing.
-    pub fn began(&self, call: u64, server: usize, miss: bool) {
+    pub fn record_execution(&self, call: u64, server: usize, miss: bool) {
         self.checker
             .borrow_mut()
             .record_execution(self.now(), call, server, miss);
     }
 
     /// Records that a final response has reached the client.
-    pub fn answered(&self, call: u64, node: usize, event: CallEvent) {
+    pub fn record_response(&self, call: u64, node: usize, event: CallEvent) {
         self.checker
             .borrow_mut()
             .record_response(self.now(), call, event);
@@ -158,7 +164,7 @@
     }
 
     /// Records that the client has disconnected, at its timeout or before.
-    pub fn record_client_left(&self, call: u64, node: usize) {
+    pub fn record_client_disconnect(&self, call: u64, node: usize) {
         let now = self.now();
         self.checker.borrow_mut().check_deadline(now, call);
         self.checker
@@ -188,8 +194,8 @@
 
     /// Exempts a node whose process is suspended or being killed: no response is required to its
     /// open API calls, nor to those that it accepts until it runs again.
-    pub fn excuse(&self, node: usize) {
-        self.excused_nodes.borrow_mut().insert(node);
+    pub fn exempt_node(&self, node: usize) {
+        self.exempt_nodes.borrow_mut().insert(node);
         let open_calls = std::mem::take(self.open_calls.borrow_mut().entry(node).or_default());
         let mut checker = self.checker.borrow_mut();
         for call in open_calls {
@@ -198,14 +204,14 @@
     }
 
     /// Ends the exemption of a node whose process runs again.
-    pub fn resume(&self, node: usize) {
-        self.excused_nodes.borrow_mut().remove(&node);
+    pub fn end_exemption(&self, node: usize) {
+        self.exempt_nodes.borrow_mut().remove(&node);
     }
 
     /// Records that a node has a new process, which does not know the endpoint states that the one
     /// before was notified of.
     pub fn record_node_restart(&self, node: usize) {
-        self.resume(node);
+        self.end_exemption(node);
         self.unavailable_since
             .borrow_mut()
             .retain(|key, _| key.0 != node);
@@ -239,7 +245,7 @@
     }
 
     /// Returns the violations that are kept, and the number of all violations.
-    pub fn verdict(&self) -> (Vec<Violation>, u64) {
+    pub fn violations(&self) -> (Vec<Violation>, u64) {
         let checker = self.checker.borrow();
         (checker.violations.clone(), checker.violation_count)
     }
--- a/crates/lab/src/stub/cache.rs
+++ b/crates/lab/src/stub/cache.rs
@@ -108,7 +108,7 @@
             (is_hit, model.is_warming_up(self.monitor.now()))
         };
         if let Some(call) = call {
-            self.monitor.began(call, server, !is_hit);
+            self.monitor.record_execution(call, server, !is_hit);
         }
         let work_ratio = match is_hit {
             true => 1.0,
--- a/crates/lab/src/stub/mod.rs
+++ b/crates/lab/src/stub/mod.rs
@@ -227,7 +227,8 @@
             .as_ref()
             .and_then(|send_times| send_times.at_offset(offset))
             .unwrap_or(self.monitor.now());
-        self.monitor.sent(sent_at, call, connection.node, server);
+        self.monitor
+            .record_sent(sent_at, call, connection.node, server);
         self.last_attempt.borrow_mut()[server] = sent_at;
         Some(call)
     }
--- a/crates/lab/src/stub/origin.rs
+++ b/crates/lab/src/stub/origin.rs
@@ -79,7 +79,7 @@
             return false;
         }
         if let Some(call) = call.filter(|_| !self.is_repeat(&request.attributes)) {
-            self.monitor.began(call, origin, false);
+            self.monitor.record_execution(call, origin, false);
         }
         self.run_work(origin, base_duration).await;
         if request.write {
