--- a/crates/lab/src/commands/emulate.rs
+++ b/crates/lab/src/commands/emulate.rs
@@ -80,7 +80,7 @@
                 report.violation_count,
                 violation.at.ms(),
                 violation.rule,
-                violation.what,
+                violation.description,
                 violation.history
             )));
         }
--- a/crates/lab/src/fleet/outcome.rs
+++ b/crates/lab/src/fleet/outcome.rs
@@ -80,7 +80,7 @@
                 "{:?} broken at {:.1} ms: {}. {history}",
                 violation.rule,
                 violation.at.ms(),
-                violation.what
+                violation.description
             )
         });
         violations
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -81,12 +81,12 @@
     let Violation {
         rule,
         at,
-        what,
+        description,
         history,
     } = first;
     let at_ms = at.ms();
     Err(LabError(format!(
-        "rules broken {count} times, first at {at_ms:.1} ms, {rule:?}: {what}. {history}"
+        "rules broken {count} times, first at {at_ms:.1} ms, {rule:?}: {description}. {history}"
     )))
 }
 
--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -34,7 +34,7 @@
     /// When the violation was observed.
     pub at: Time,
     /// How the rule was violated.
-    pub what: String,
+    pub description: String,
     /// The events of the API call that it concerns; empty if it concerns none.
     pub history: String,
 }
@@ -239,7 +239,7 @@
         self.violations.push(Violation {
             rule,
             at,
-            what: description.to_owned(),
+            description: description.to_owned(),
             history: history
                 .map(|history| history.describe())
                 .unwrap_or_default(),
--- a/crates/lab/src/sweep.rs
+++ b/crates/lab/src/sweep.rs
@@ -189,7 +189,7 @@
             first_violation: first_violation.map(|violation| {
                 format!(
                     "{:?}: {} {}",
-                    violation.rule, violation.what, violation.history
+                    violation.rule, violation.description, violation.history
                 )
             }),
         })
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -255,7 +255,7 @@
         let detected = outcome
             .violations
             .iter()
-            .find(|violation| violation.rule == *rule && violation.what.contains(violation_text));
+            .find(|kept| kept.rule == *rule && kept.description.contains(violation_text));
         assert!(detected.is_some(), "{name}: {:?}", outcome.failures());
         let has_history = detected
             .map(|violation| violation.history.contains("Taken"))
--- a/crates/lab/tests/validation.rs
+++ b/crates/lab/tests/validation.rs
@@ -87,7 +87,7 @@
                 "{:?} at {:.0} ms: {} {}",
                 violation.rule,
                 violation.at.ms(),
-                violation.what,
+                violation.description,
                 violation.history
             )
         });
