--- a/crates/lab/src/clients/endpoint.rs
+++ b/crates/lab/src/clients/endpoint.rs
@@ -29,9 +29,9 @@
     connection_slots: Semaphore,
     /// Number of connections that were found closed after a request was written on them; the
     /// request was then sent once more on a new connection.
-    pub closed_in_call: Cell<u64>,
+    pub connections_closed_in_call: Cell<u64>,
     /// Number of connections that were found closed when a client took them from the pool.
-    pub ended_idle: Cell<u64>,
+    pub idle_connections_closed: Cell<u64>,
 }
 
 struct IdleConnection {
@@ -75,8 +75,8 @@
             incarnation: Cell::new(0),
             idle: RefCell::default(),
             connection_slots: Semaphore::new(max_connections),
-            closed_in_call: Cell::new(0),
-            ended_idle: Cell::new(0),
+            connections_closed_in_call: Cell::new(0),
+            idle_connections_closed: Cell::new(0),
         })
     }
 
@@ -90,7 +90,9 @@
             match idle.stream.get_ref().try_read(&mut [0; 1]) {
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Some(idle.stream),
                 Ok(1..) => monitor.record_response(idle.last_call, self.node, CallEvent::Errored),
-                _ => self.ended_idle.set(self.ended_idle.get() + 1),
+                _ => self
+                    .idle_connections_closed
+                    .set(self.idle_connections_closed.get() + 1),
             }
         }
         None
@@ -111,15 +113,15 @@
         request: &ClientRequest<'_>,
     ) -> AttemptResult {
         let Ok(_slot) = self.connection_slots.acquire().await else {
-            return AttemptResult::new(CallOutcome::NeverTaken);
+            return AttemptResult::new(CallOutcome::NotAccepted);
         };
         let incarnation = self.incarnation.get();
         for is_resend in [false, true] {
             // A request that was written once may have been accepted by the node, so the call
-            // counts as lost with its connection, not as never taken.
+            // counts as lost with its connection rather than as not accepted.
             let outcome_if_not_written = match is_resend {
-                true => CallOutcome::Closed,
-                false => CallOutcome::NeverTaken,
+                true => CallOutcome::ConnectionClosed,
+                false => CallOutcome::NotAccepted,
             };
             let idle = match is_resend {
                 true => None,
@@ -143,12 +145,13 @@
                 Exchange::NotWritten if may_resend => {}
                 Exchange::NotWritten => return AttemptResult::new(outcome_if_not_written),
                 Exchange::NoResponse if may_resend => {
-                    self.closed_in_call.set(self.closed_in_call.get() + 1);
+                    self.connections_closed_in_call
+                        .set(self.connections_closed_in_call.get() + 1);
                 }
-                Exchange::NoResponse => return AttemptResult::new(CallOutcome::Closed),
+                Exchange::NoResponse => return AttemptResult::new(CallOutcome::ConnectionClosed),
             }
         }
-        AttemptResult::new(CallOutcome::Closed)
+        AttemptResult::new(CallOutcome::ConnectionClosed)
     }
 
     /// Writes a request and reads its response.
--- a/crates/lab/src/clients/mod.rs
+++ b/crates/lab/src/clients/mod.rs
@@ -82,8 +82,8 @@
     report.client_attempts = pool.attempts.get();
     let sum =
         |count: fn(&NodeEndpoint) -> u64| endpoints.iter().map(|endpoint| count(endpoint)).sum();
-    report.ended_idle = sum(|endpoint| endpoint.ended_idle.get());
-    report.closed_in_call = sum(|endpoint| endpoint.closed_in_call.get());
+    report.idle_connections_closed = sum(|endpoint| endpoint.idle_connections_closed.get());
+    report.connections_closed_in_call = sum(|endpoint| endpoint.connections_closed_in_call.get());
     report
 }
 
@@ -120,10 +120,10 @@
         }
     }
 
-    fn may_retry(&self, product: usize, end: CallOutcome) -> bool {
-        match end {
+    fn may_retry(&self, product: usize, outcome: CallOutcome) -> bool {
+        match outcome {
             CallOutcome::Fulfilled => false,
-            CallOutcome::RateLimited | CallOutcome::NeverTaken => true,
+            CallOutcome::RateLimited | CallOutcome::NotAccepted => true,
             _ => self.policies[product].idempotency != Idempotency::NonIdempotent,
         }
     }
@@ -161,46 +161,46 @@
             expires_at,
         };
         let Some(endpoint) = self.pick_endpoint() else {
-            return AttemptResult::new(CallOutcome::NeverTaken);
+            return AttemptResult::new(CallOutcome::NotAccepted);
         };
         let read_deadline = match timeout_factor >= 1.0 {
             true => expires_at + LATE_RESPONSE_TIMEOUT,
             false => expires_at,
         };
         let result = timeout_at(read_deadline, endpoint.send(&self.monitor, &request)).await;
-        let mut attempt = result.unwrap_or(AttemptResult::new(CallOutcome::GaveUp));
+        let mut attempt = result.unwrap_or(AttemptResult::new(CallOutcome::TimedOut));
         match attempt.outcome {
-            CallOutcome::GaveUp => self
+            CallOutcome::TimedOut => self
                 .monitor
                 .record_client_disconnect(call_id, endpoint.node),
-            CallOutcome::Closed => self
+            CallOutcome::ConnectionClosed => self
                 .monitor
                 .record_connection_closed(call_id, endpoint.node),
             _ => {}
         }
         // A response after the client's timeout has no value.
         if Instant::now() > expires_at {
-            attempt.outcome = CallOutcome::GaveUp;
+            attempt.outcome = CallOutcome::TimedOut;
         }
         attempt
     }
 
-    fn record(&self, call: &ClientCall, end: CallOutcome, ended_at: Instant) {
+    fn record(&self, call: &ClientCall, outcome: CallOutcome, ended_at: Instant) {
         let product = &self.scenario.products[call.arrival.product];
         let latency = ended_at.saturating_duration_since(call.scheduled_at);
         let in_slo = latency.as_secs_f64() * 1000.0 <= product.slo_ms;
-        let earned_ratio = match end {
+        let earned_ratio = match outcome {
             CallOutcome::Fulfilled if in_slo => 1.0,
             CallOutcome::Fulfilled => product.late_priority_weight,
             _ => 0.0,
         };
         let mut report = self.report.borrow_mut();
         report.started += 1;
-        report.end(EndedCall {
+        report.record_ended_call(EndedCall {
             product: call.arrival.product,
             started_at: Time::from_ms(call.arrival.at_s * 1000.0),
             latency: Span(latency.as_micros() as i64),
-            end,
+            outcome,
             in_slo,
             priority_weight: product.priority_weight,
             value_ratio: earned_ratio,
--- a/crates/lab/src/commands/emulate.rs
+++ b/crates/lab/src/commands/emulate.rs
@@ -61,7 +61,7 @@
         let report = run(&scenario).map_err(in_file(&args.file))?;
         println!("{}", describe(&policy, &report));
         if args.seconds {
-            print!("{}", report.by_second());
+            print!("{}", report.table_by_second());
         }
         reports.push((policy, report));
     }
--- a/crates/lab/src/emulator/clients.rs
+++ b/crates/lab/src/emulator/clients.rs
@@ -59,24 +59,24 @@
 
     /// Records the end of a client's API call. It earns its full value within the latency
     /// objective, a reduced value if fulfilled later, and none otherwise.
-    fn end_client_call(&mut self, client_id: u64, end: CallOutcome) {
+    fn end_client_call(&mut self, client_id: u64, outcome: CallOutcome) {
         let Some(client) = self.clients.remove(&client_id) else {
             return;
         };
         let product = self.products[client.product];
         let elapsed = self.now - client.started_at;
-        let fulfilled = end == CallOutcome::Fulfilled;
+        let fulfilled = outcome == CallOutcome::Fulfilled;
         let in_slo = fulfilled && elapsed <= product.latency_objective;
         let earned_ratio = match (fulfilled, in_slo) {
             (false, _) => 0.0,
             (true, true) => 1.0,
             (true, false) => product.late_priority_weight,
         };
-        self.report.end(EndedCall {
+        self.report.record_ended_call(EndedCall {
             product: client.product,
             started_at: client.started_at,
             latency: elapsed,
-            end,
+            outcome,
             in_slo,
             priority_weight: product.priority_weight,
             value_ratio: earned_ratio,
@@ -238,7 +238,7 @@
             self.report_client_disconnect(node, call);
         }
         self.sim
-            .retry_or_end(attempt.client, CallOutcome::GaveUp, None);
+            .retry_or_end(attempt.client, CallOutcome::TimedOut, None);
     }
 
     /// Notifies the node that the client of an API call has disconnected.
--- a/crates/lab/src/fleet/outcome.rs
+++ b/crates/lab/src/fleet/outcome.rs
@@ -131,7 +131,10 @@
             ),
             Row::new(
                 "no answer, closed, never taken",
-                format!("{}, {}, {}", all.gave_up, all.closed, all.never_taken),
+                format!(
+                    "{}, {}, {}",
+                    all.timed_out, all.connection_closed, all.not_accepted
+                ),
             ),
             Row::new(
                 "service, worst 10 s, worst second",
@@ -213,7 +216,7 @@
         ]
         .map(|figure| format!("{figure:>10.4}"));
         let p99 = self.latency_ms(0.99);
-        let lost = all.gave_up + all.closed + all.never_taken;
+        let lost = all.timed_out + all.connection_closed + all.not_accepted;
         let counts = [
             self.origin_attempts,
             origin_peak,
@@ -260,8 +263,8 @@
         serde_json::json!({
             "plan": plan, "seconds": seconds, "events": self.events, "faults": self.fault_periods,
             "service": all.service(), "worst_10s": self.report.worst_service(), "asked": all.total, "in_slo": all.in_slo,
-            "late": all.late, "rate_limited": all.rate_limited, "errored": all.errored, "no_answer": all.gave_up,
-            "closed": all.closed, "never_taken": all.never_taken, "hits": self.hits, "misses": self.misses,
+            "late": all.late, "rate_limited": all.rate_limited, "errored": all.errored, "no_answer": all.timed_out,
+            "closed": all.connection_closed, "never_taken": all.not_accepted, "hits": self.hits, "misses": self.misses,
             "origin_attempts": self.origin_attempts, "fell": self.overloads, "up": self.nodes_up, "datagrams": self.datagrams.sent,
             "rules_broken": self.violation_count, "failures": self.failures(), "rig_late_s": self.max_lateness_s,
         })
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -32,8 +32,8 @@
     format!(
         "asked {}, fulfilled {} ({} in the SLO), rate-limited {}, errored {}, no answer {}, connection closed with no \
          answer {}, never taken {}; connections that ended while idle {}, under a call {}; service {:.4}; p50 {:.1} ms, p99 {:.1} ms, p99.9 {:.1} ms from the intended send",
-        all.total, all.in_slo + all.late, all.in_slo, all.rate_limited, all.errored, all.gave_up, all.closed,
-        all.never_taken, report.ended_idle, report.closed_in_call, all.service(), latency_ms(0.5), latency_ms(0.99), latency_ms(0.999)
+        all.total, all.in_slo + all.late, all.in_slo, all.rate_limited, all.errored, all.timed_out, all.connection_closed,
+        all.not_accepted, report.idle_connections_closed, report.connections_closed_in_call, all.service(), latency_ms(0.5), latency_ms(0.99), latency_ms(0.999)
     )
 }
 
--- a/crates/lab/src/stats.rs
+++ b/crates/lab/src/stats.rs
@@ -17,12 +17,12 @@
     /// It got an error, which does not say whether it was executed.
     Errored,
     /// It got no response before its client timeout.
-    GaveUp,
+    TimedOut,
     /// Its connection ended without a response, after its request had been written completely.
-    Closed,
+    ConnectionClosed,
     /// No node accepted it: there was no connection, or one that broke before the last byte was
     /// written.
-    NeverTaken,
+    NotAccepted,
 }
 
 /// An ended API call of a client.
@@ -35,7 +35,7 @@
     /// Its latency, including retries and the delays before them.
     pub latency: Span,
     /// How it ended.
-    pub end: CallOutcome,
+    pub outcome: CallOutcome,
     /// It was fulfilled within the latency objective.
     pub in_slo: bool,
     /// Value of a response within the latency objective.
@@ -57,12 +57,12 @@
     pub rate_limited: u64,
     /// `CallOutcome::Errored`.
     pub errored: u64,
-    /// `CallOutcome::GaveUp`.
-    pub gave_up: u64,
-    /// `CallOutcome::Closed`.
-    pub closed: u64,
-    /// `CallOutcome::NeverTaken`.
-    pub never_taken: u64,
+    /// `CallOutcome::TimedOut`.
+    pub timed_out: u64,
+    /// `CallOutcome::ConnectionClosed`.
+    pub connection_closed: u64,
+    /// `CallOutcome::NotAccepted`.
+    pub not_accepted: u64,
     /// Value that responses within the latency objective to all of them would have earned.
     pub offered_value: f64,
     /// Value that the responses earned.
@@ -85,9 +85,9 @@
             + self.late
             + self.rate_limited
             + self.errored
-            + self.gave_up
-            + self.closed
-            + self.never_taken
+            + self.timed_out
+            + self.connection_closed
+            + self.not_accepted
     }
 
     /// Counts an ended API call.
@@ -95,14 +95,14 @@
         self.total += 1;
         self.offered_value += ended.priority_weight;
         self.earned_value += ended.priority_weight * ended.value_ratio;
-        match ended.end {
+        match ended.outcome {
             CallOutcome::Fulfilled if ended.in_slo => self.in_slo += 1,
             CallOutcome::Fulfilled => self.late += 1,
             CallOutcome::RateLimited => self.rate_limited += 1,
             CallOutcome::Errored => self.errored += 1,
-            CallOutcome::GaveUp => self.gave_up += 1,
-            CallOutcome::Closed => self.closed += 1,
-            CallOutcome::NeverTaken => self.never_taken += 1,
+            CallOutcome::TimedOut => self.timed_out += 1,
+            CallOutcome::ConnectionClosed => self.connection_closed += 1,
+            CallOutcome::NotAccepted => self.not_accepted += 1,
         }
     }
 }
--- a/crates/lab/src/stats/figures.rs
+++ b/crates/lab/src/stats/figures.rs
@@ -61,7 +61,7 @@
 
     /// Formats a table with a line for each second: outcomes of the API calls started in it, and
     /// events of nodes' and clients' attempts.
-    pub fn by_second(&self) -> String {
+    pub fn table_by_second(&self) -> String {
         let mut table = format!(
             "second  service in-time   late  {}\n",
             HEADINGS.map(|heading| format!("{heading:>10}")).concat()
--- a/crates/lab/src/stats/report.rs
+++ b/crates/lab/src/stats/report.rs
@@ -79,9 +79,9 @@
     /// Connections that the nodes requested, including refused ones.
     pub handshakes: u64,
     /// Real clients only: idle connections that were closed before they were used again.
-    pub ended_idle: u64,
+    pub idle_connections_closed: u64,
     /// Real clients only: connections that were closed while an API call was open on them.
-    pub closed_in_call: u64,
+    pub connections_closed_in_call: u64,
     /// Number of attempts sent to the origin, by second.
     pub origin_attempts_by_second: Vec<u64>,
     /// Counts by second and `Metric`.
@@ -128,8 +128,8 @@
             hits: 0,
             refused_connections: 0,
             handshakes: 0,
-            ended_idle: 0,
-            closed_in_call: 0,
+            idle_connections_closed: 0,
+            connections_closed_in_call: 0,
             origin_attempts_by_second: vec![0; seconds],
             metrics_by_second: vec![[0; METRICS]; seconds],
             origin_overloads: 0,
@@ -165,8 +165,8 @@
         }
     }
 
-    /// Records the end of a client's API call.
-    pub fn end(&mut self, ended: EndedCall) {
+    /// Records a client's ended API call.
+    pub fn record_ended_call(&mut self, ended: EndedCall) {
         self.ended += 1;
         if let Some(window) = self.windows.get_mut(second_of(ended.started_at)) {
             window.add(&ended);
@@ -178,7 +178,7 @@
         if let Some((_, counts)) = self.products.get_mut(ended.product) {
             counts.add(&ended);
         }
-        if ended.end == CallOutcome::Fulfilled {
+        if ended.outcome == CallOutcome::Fulfilled {
             self.latency
                 .saturating_record(ended.latency.0.max(1) as u64);
         }
