--- a/crates/lab/src/commands/emulate.rs
+++ b/crates/lab/src/commands/emulate.rs
@@ -115,7 +115,7 @@
 pub fn sweep(args: &SweepArgs) -> Result<(), LabError> {
     let sweep = Sweep::parse(&read(&args.file)?).map_err(in_file(&args.file))?;
     let folder = prepare_folder(&args.out)?;
-    let rows = sweep.play().map_err(in_file(&args.file))?;
+    let rows = sweep.run().map_err(in_file(&args.file))?;
     let table = sweep.table(&rows);
     print!("{table}");
     if let Some(folder) = folder {
@@ -153,7 +153,7 @@
     let hours = parse_number("hours", &args.hours)?;
     let folder = prepare_folder(&args.out)?;
     let seed = parse_number("seed", &args.seed)?;
-    let rows = gossip::play(&sizes, crashes, hours, seed);
+    let rows = gossip::compare_detectors(&sizes, crashes, hours, seed);
     print!("{}", gossip::table(&rows));
     if let Some(folder) = folder {
         print_written_files(&gossip::plot(&folder, &rows)?);
--- a/crates/lab/src/emulator/mod.rs
+++ b/crates/lab/src/emulator/mod.rs
@@ -48,7 +48,7 @@
     match scenario.policy.as_str() {
         "dema" => {
             let balancer = |node, seed| Balancer::new(&scenario.policy_config(node), seed);
-            Ok(Emulator::new(scenario, balancer).play())
+            Ok(Emulator::new(scenario, balancer).run())
         }
         "random" => Ok(run_baseline(scenario, || Random)),
         "least_in_flight" => Ok(run_baseline(scenario, || LeastInFlight)),
@@ -63,7 +63,7 @@
 
 fn run_baseline<P: Pick>(scenario: &Scenario, pick: impl Fn() -> P) -> Report {
     let make_router = |node, seed| Baseline::new(pick(), &scenario.policy_config(node), seed);
-    Emulator::new(scenario, make_router).play()
+    Emulator::new(scenario, make_router).run()
 }
 
 /// A run of one scenario. `make_router` makes the router of each node from the node's index and a
@@ -98,7 +98,7 @@
     }
 
     /// Runs the scenario to its end and returns the report.
-    pub fn play(mut self) -> Report {
+    pub fn run(mut self) -> Report {
         if self.sim.scenario.caches.prefilled {
             self.sim.prefill_caches();
         }
--- a/crates/lab/src/emulator/servers.rs
+++ b/crates/lab/src/emulator/servers.rs
@@ -6,7 +6,7 @@
 };
 use super::state::Simulation;
 use crate::metric::Metric;
-use crate::server::{Health, Job, Overload, Work, OVERLOAD_OUTAGE};
+use crate::server::{Health, Job, LoadCheck, Work, OVERLOAD_OUTAGE};
 
 impl Simulation {
     /// Handles a node's request for a new connection.
@@ -69,16 +69,16 @@
         let work = Work {
             key: job.key,
             write: job.write,
-            duration: job.work,
+            base_duration: job.work,
             caused_by_cold_miss: job.caused_by_cold_miss,
         };
-        let overload = self.servers[server].admit_work(now, work, &self.scenario);
-        match overload {
-            Overload::Admitted => return true,
-            Overload::Origin { .. } => self.report.origin_overloads += 1,
-            Overload::Cold => self.report.cache_overloads += 1,
+        let load_check = self.servers[server].admit_work(now, work, &self.scenario);
+        match load_check {
+            LoadCheck::Admitted => return true,
+            LoadCheck::OriginOverloaded { .. } => self.report.origin_overloads += 1,
+            LoadCheck::Cold => self.report.cache_overloads += 1,
         }
-        if let Some(violation) = overload.violation(server) {
+        if let Some(violation) = load_check.violation(server) {
             self.checker.record_overload(now, &violation);
         }
         self.stop_server(server);
--- a/crates/lab/src/emulator/setup.rs
+++ b/crates/lab/src/emulator/setup.rs
@@ -27,10 +27,10 @@
     let [slowest, fastest] = scenario.caches.speed;
     let caches = (0..scenario.caches.count).map(|_| {
         let speed = slowest + (fastest - slowest) * rng.unit();
-        Server::of(scenario, false, speed)
+        Server::from_scenario(scenario, false, speed)
     });
     let mut servers: Vec<_> = caches.collect();
-    servers.push(Server::of(scenario, true, 1.0));
+    servers.push(Server::from_scenario(scenario, true, 1.0));
     servers
 }
 
--- a/crates/lab/src/fleet/plan/parse.rs
+++ b/crates/lab/src/fleet/plan/parse.rs
@@ -49,7 +49,7 @@
                     _ => format!("{key}: {problem}"),
                 })
             })?;
-        let scenario = Scenario::of(toml::Value::Table(file.scenario))
+        let scenario = Scenario::from_value(toml::Value::Table(file.scenario))
             .map_err(|LabError(problem)| LabError(format!("scenario.{problem}")))?;
         let json =
             |table: toml::Table| serde_json::to_value(table).map_err(|e| LabError(e.to_string()));
--- a/crates/lab/src/gossip.rs
+++ b/crates/lab/src/gossip.rs
@@ -122,7 +122,7 @@
 
 /// Emulates each detector at each fleet size. `hours`: node-hours over which false removals are
 /// counted.
-pub fn play(sizes: &[usize], crashes: usize, hours: f64, seed: u64) -> Vec<Row> {
+pub fn compare_detectors(sizes: &[usize], crashes: usize, hours: f64, seed: u64) -> Vec<Row> {
     let runs: Vec<(usize, Detector)> = sizes
         .iter()
         .flat_map(|nodes| [Detector::Quartzhub, Detector::Plain].map(|detector| (*nodes, detector)))
--- a/crates/lab/src/rule_monitor.rs
+++ b/crates/lab/src/rule_monitor.rs
@@ -9,7 +9,7 @@
 use tokio::time::{sleep, Instant};
 
 use crate::rules::{CallEvent, Rule, RuleChecker, Violation};
-use crate::server::Overload;
+use crate::server::LoadCheck;
 
 /// How much later than it happened an event may be observed on a machine without load: one pass
 /// over all sockets, plus the time for which a node may wait for a core.
@@ -229,8 +229,8 @@
     }
 
     /// Records that a server was sent more work than it can handle, if that violates rule 4.
-    pub fn record_overload(&self, server: usize, overload: Overload) {
-        if let Some(description) = overload.violation(server) {
+    pub fn record_overload(&self, server: usize, load_check: LoadCheck) {
+        if let Some(description) = load_check.violation(server) {
             self.checker
                 .borrow_mut()
                 .record_overload(self.now(), &description);
--- a/crates/lab/src/scenario/parse.rs
+++ b/crates/lab/src/scenario/parse.rs
@@ -6,12 +6,12 @@
 impl Scenario {
     /// Parses a scenario and checks its values.
     pub fn parse(text: &str) -> Result<Scenario, LabError> {
-        Scenario::of(parse_table(text)?)
+        Scenario::from_value(parse_table(text)?)
     }
 
     /// Converts a TOML value to a scenario and checks its values.
-    pub fn of(value: toml::Value) -> Result<Scenario, LabError> {
-        let scenario: Scenario = from_value(value)?;
+    pub fn from_value(value: toml::Value) -> Result<Scenario, LabError> {
+        let scenario: Scenario = deserialize_value(value)?;
         scenario.check()?;
         Ok(scenario)
     }
@@ -19,7 +19,7 @@
 
 /// Parses a TOML document into its type.
 pub fn parse_document<T: DeserializeOwned>(text: &str) -> Result<T, LabError> {
-    from_value(parse_table(text)?)
+    deserialize_value(parse_table(text)?)
 }
 
 fn parse_table(text: &str) -> Result<toml::Value, LabError> {
@@ -29,7 +29,7 @@
         .map_err(|error| LabError(one_line(&error)))
 }
 
-fn from_value<T: DeserializeOwned>(value: toml::Value) -> Result<T, LabError> {
+fn deserialize_value<T: DeserializeOwned>(value: toml::Value) -> Result<T, LabError> {
     serde_path_to_error::deserialize(value).map_err(|error| {
         let key = error.path().to_string();
         let cause = error.inner().message();
--- a/crates/lab/src/server.rs
+++ b/crates/lab/src/server.rs
@@ -50,18 +50,18 @@
     /// It writes the key.
     pub write: bool,
     /// Its duration at full speed, on one core.
-    pub duration: Span,
+    pub base_duration: Span,
     /// Its call missed at a cache that was warming up.
     pub caused_by_cold_miss: bool,
 }
 
 /// How a server's load changes with new work.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Overload {
+pub enum LoadCheck {
     /// The server is not overloaded and admits the work.
     Admitted,
     /// The origin is overloaded and stops.
-    Origin {
+    OriginOverloaded {
         /// Ratio of its work that was caused by misses at caches that were warming up.
         caused_by_cold_miss: f64,
     },
@@ -69,16 +69,16 @@
     Cold,
 }
 
-impl Overload {
+impl LoadCheck {
     /// Describes the violation of rule 4, if this is one.
     pub fn violation(&self, server: usize) -> Option<String> {
         match *self {
-            Overload::Origin {
+            LoadCheck::OriginOverloaded {
                 caused_by_cold_miss,
             } if caused_by_cold_miss > MAX_COLD_MISS_RATIO => Some(format!(
                 "the origin stopped; {caused_by_cold_miss:.2} of its work was caused by cold misses"
             )),
-            Overload::Cold => Some(format!("cache {server} was pushed over while cold")),
+            LoadCheck::Cold => Some(format!("cache {server} was pushed over while cold")),
             _ => None,
         }
     }
@@ -157,7 +157,7 @@
     }
 
     /// Creates the origin or a cache, as the scenario describes it.
-    pub fn of(scenario: &Scenario, origin: bool, speed: f64) -> Server {
+    pub fn from_scenario(scenario: &Scenario, origin: bool, speed: f64) -> Server {
         let caches = &scenario.caches;
         let (cores, queue_capacity, memory) = if origin {
             (scenario.origin.cores, scenario.origin.queue, 0)
@@ -197,7 +197,7 @@
 
     /// Accounts for new work and checks the load. Rule 4: a cache that is warming up stops when it
     /// is sent too much work, and so does the origin.
-    pub fn admit_work(&mut self, now: Time, work: Work, scenario: &Scenario) -> Overload {
+    pub fn admit_work(&mut self, now: Time, work: Work, scenario: &Scenario) -> LoadCheck {
         let (window_ms, max_load) = if self.origin {
             (scenario.origin.load_window_ms, scenario.origin.max_load)
         } else {
@@ -212,19 +212,19 @@
         };
         let demand = self.demand.add(
             now,
-            work.duration.times(work_ratio),
+            work.base_duration.times(work_ratio),
             work.caused_by_cold_miss,
             Span::from_ms(window_ms),
         );
         let overloaded = demand.rate > max_load * self.capacity(now);
         if overloaded && self.origin {
-            Overload::Origin {
+            LoadCheck::OriginOverloaded {
                 caused_by_cold_miss: demand.cold_miss_ratio,
             }
         } else if overloaded && self.is_warming_up(now) {
-            Overload::Cold
+            LoadCheck::Cold
         } else {
-            Overload::Admitted
+            LoadCheck::Admitted
         }
     }
 
--- a/crates/lab/src/stub/cache.rs
+++ b/crates/lab/src/stub/cache.rs
@@ -92,11 +92,11 @@
         command: CacheCommand,
     ) -> Option<&'static [u8]> {
         let product = &self.scenario.products[self.product_index(&command.attributes)];
-        let base_duration = self.draw_duration(product.work_ms);
+        let drawn_duration = self.draw_duration(product.work_ms);
         let work = Work {
             key: command.key,
             write: false,
-            duration: base_duration,
+            base_duration: drawn_duration,
             caused_by_cold_miss: false,
         };
         if !self.admit_work(server, work) {
@@ -114,7 +114,8 @@
             true => 1.0,
             false => self.scenario.caches.miss_work_ratio,
         };
-        self.run_work(server, base_duration.times(work_ratio)).await;
+        self.run_work(server, drawn_duration.times(work_ratio))
+            .await;
         if is_hit {
             self.hits.set(self.hits.get() + 1);
             return Some(HIT);
--- a/crates/lab/src/stub/mod.rs
+++ b/crates/lab/src/stub/mod.rs
@@ -96,7 +96,7 @@
                 true => 1.0,
                 false => from + (to - from) * rng.unit(),
             };
-            let model = Server::of(scenario, origin, speed);
+            let model = Server::from_scenario(scenario, origin, speed);
             StubServer {
                 cores: Semaphore::new(model.cores),
                 model: RefCell::new(model),
--- a/crates/lab/src/stub/origin.rs
+++ b/crates/lab/src/stub/origin.rs
@@ -68,11 +68,11 @@
             .borrow_mut()
             .remove(&request.id)
             .unwrap_or_default();
-        let base_duration = self.draw_duration(self.scenario.origin.work_ms);
+        let drawn_duration = self.draw_duration(self.scenario.origin.work_ms);
         let work = Work {
             key: request.key,
             write: request.write,
-            duration: base_duration,
+            base_duration: drawn_duration,
             caused_by_cold_miss: misses.iter().any(|miss| miss.is_cold),
         };
         if !self.admit_work(origin, work) {
@@ -81,7 +81,7 @@
         if let Some(call) = call.filter(|_| !self.is_repeat(&request.attributes)) {
             self.monitor.record_execution(call, origin, false);
         }
-        self.run_work(origin, base_duration).await;
+        self.run_work(origin, drawn_duration).await;
         if request.write {
             for server in &self.servers {
                 server.model.borrow_mut().cache.remove(request.key);
--- a/crates/lab/src/stub/work.rs
+++ b/crates/lab/src/stub/work.rs
@@ -10,7 +10,7 @@
 
 use super::StubServers;
 use crate::scenario::WorkDistribution;
-use crate::server::{Overload, Work, OVERLOAD_OUTAGE};
+use crate::server::{LoadCheck, Work, OVERLOAD_OUTAGE};
 
 /// Longest duration of one piece of work, in microseconds.
 const MAX_WORK_US: i64 = 60_000_000;
@@ -51,15 +51,15 @@
     /// Adds work to a server's demand and returns whether the server can bear it. A server that is
     /// overloaded goes down for `OVERLOAD_OUTAGE`.
     pub(super) fn admit_work(self: &Rc<StubServers>, server: usize, work: Work) -> bool {
-        let overload = self.servers[server].model.borrow_mut().admit_work(
+        let load_check = self.servers[server].model.borrow_mut().admit_work(
             self.monitor.now(),
             work,
             &self.scenario,
         );
-        if overload == Overload::Admitted {
+        if load_check == LoadCheck::Admitted {
             return true;
         }
-        self.monitor.record_overload(server, overload);
+        self.monitor.record_overload(server, load_check);
         self.overloads.set(self.overloads.get() + 1);
         self.take_down(server);
         let stubs = self.clone();
--- a/crates/lab/src/sweep.rs
+++ b/crates/lab/src/sweep.rs
@@ -152,14 +152,14 @@
             set_value(&mut table, &vary.key, value.clone())
                 .map_err(|error| LabError(format!("vary: {}: {error}", vary.key)))?;
         }
-        let mut scenario = Scenario::of(table)?;
+        let mut scenario = Scenario::from_value(table)?;
         scenario.seed = seed;
         scenario.policy = policy.to_owned();
         Ok(scenario)
     }
 
     /// Runs the experiment; returns a row for each point and policy.
-    pub fn play(&self) -> Result<Vec<Row>, LabError> {
+    pub fn run(&self) -> Result<Vec<Row>, LabError> {
         let inputs = self.points().into_iter().flat_map(|point| {
             self.policies.iter().map(move |policy| RowInput {
                 point: point.clone(),
--- a/crates/lab/tests/validation.rs
+++ b/crates/lab/tests/validation.rs
@@ -113,7 +113,7 @@
                 faulty
             }
         };
-        let report = Emulator::new(&scenario, make_router).play();
+        let report = Emulator::new(&scenario, make_router).run();
         let rules: Vec<Rule> = report
             .violations
             .iter()
