--- a/crates/lab/src/emulator/dispatch.rs
+++ b/crates/lab/src/emulator/dispatch.rs
@@ -94,7 +94,7 @@
     fn on_node_restarted(&mut self, node: usize) {
         let node_incarnation = self.nodes[node].node_state.node_incarnation;
         self.nodes[node] = self.new_node(node, node_incarnation);
-        self.with_router(node, |router, effects, now| router.start(now, effects));
+        self.with_router(node, |router, effects, now| router.on_start(now, effects));
         self.send_all_endpoints(node);
     }
 }
--- a/crates/lab/src/emulator/mod.rs
+++ b/crates/lab/src/emulator/mod.rs
@@ -103,7 +103,7 @@
             self.sim.prefill_caches();
         }
         for node in 0..self.nodes.len() {
-            self.with_router(node, |router, effects, now| router.start(now, effects));
+            self.with_router(node, |router, effects, now| router.on_start(now, effects));
             self.send_all_endpoints(node);
         }
         for index in 0..self.sim.scenario.faults.len() {
--- a/crates/lab/src/routers/baseline.rs
+++ b/crates/lab/src/routers/baseline.rs
@@ -159,7 +159,7 @@
 }
 
 impl<P: Pick> Router for Baseline<P> {
-    fn start<A: PolicyActions>(&mut self, _now: Time, _actions: &mut A) {}
+    fn on_start<A: PolicyActions>(&mut self, _now: Time, _actions: &mut A) {}
 
     fn list<'a, A: PolicyActions>(
         &mut self,
--- a/crates/lab/src/routers/faulty.rs
+++ b/crates/lab/src/routers/faulty.rs
@@ -53,8 +53,8 @@
 }
 
 impl<R: Router> Router for FaultyRouter<R> {
-    fn start<A: PolicyActions>(&mut self, now: Time, actions: &mut A) {
-        self.inner.start(now, actions);
+    fn on_start<A: PolicyActions>(&mut self, now: Time, actions: &mut A) {
+        self.inner.on_start(now, actions);
     }
 
     fn list<'a, A: PolicyActions>(
--- a/crates/lab/src/routers/mod.rs
+++ b/crates/lab/src/routers/mod.rs
@@ -16,7 +16,7 @@
 /// A routing policy. A node notifies it of events, and it acts by calling `PolicyActions`.
 pub trait Router: Sized {
     /// Handles the start of the node.
-    fn start<A: PolicyActions>(&mut self, now: Time, actions: &mut A);
+    fn on_start<A: PolicyActions>(&mut self, now: Time, actions: &mut A);
 
     /// Handles an endpoint list or an update of it. If `complete`, servers that it doesn't name are
     /// delisted.
@@ -54,7 +54,7 @@
 }
 
 impl Router for Balancer {
-    fn start<A: PolicyActions>(&mut self, now: Time, actions: &mut A) {
+    fn on_start<A: PolicyActions>(&mut self, now: Time, actions: &mut A) {
         Balancer::start(self, now, actions);
     }
 
