--- a/crates/lab/src/fleet/discovery.rs
+++ b/crates/lab/src/fleet/discovery.rs
@@ -11,7 +11,7 @@
 use tokio::time::{sleep_until, timeout, Instant};
 
 use super::proxy::Connection;
-use crate::stub::{Change, ListedState, StubServers};
+use crate::stub::{EndpointListChange, ListedState, StubServers};
 
 /// Time without an event after which a watch sends a heartbeat.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
@@ -82,7 +82,7 @@
 impl DiscoveryStub {
     fn due_changes(&self) -> DueChanges {
         let now = self.stubs.monitor.now();
-        let changes = self.stubs.changes.borrow();
+        let changes = self.stubs.list_changes.borrow();
         let mut due = Time(0);
         for (index, change) in changes.iter().enumerate() {
             due = due.max(change.at + self.delay_of(index));
@@ -137,7 +137,7 @@
         // but do not postpone it.
         let mut last_write = Instant::now();
         loop {
-            let changed = self.stubs.changed.notified();
+            let changed = self.stubs.list_changed.notified();
             let due = self.due_changes();
             if due.count > sent {
                 let event = self.changes_event(sent, due.count);
@@ -202,9 +202,9 @@
     fn full_list_event(&self, change_count: usize) -> WatchEvent {
         let json = self
             .stubs
-            .list_at(change_count, |server| self.addrs[server]);
-        let changes = self.stubs.changes.borrow();
-        let servers = (0..self.stubs.servers()).map(|server| {
+            .endpoint_list_at(change_count, |server| self.addrs[server]);
+        let changes = self.stubs.list_changes.borrow();
+        let servers = (0..self.stubs.server_count()).map(|server| {
             let last = changes[..change_count]
                 .iter()
                 .rev()
@@ -222,9 +222,9 @@
 
     /// Returns the changes in the index range `from..to`.
     fn changes_event(&self, from: usize, to: usize) -> WatchEvent {
-        let changes = &self.stubs.changes.borrow()[from..to];
-        let entry = |change: &Change| {
-            self.stubs.entry(
+        let changes = &self.stubs.list_changes.borrow()[from..to];
+        let entry = |change: &EndpointListChange| {
+            self.stubs.endpoint_entry(
                 change.server,
                 self.addrs[change.server],
                 change.state,
--- a/crates/lab/src/fleet/plan/checks.rs
+++ b/crates/lab/src/fleet/plan/checks.rs
@@ -33,7 +33,7 @@
                 "scenario.policy: real nodes run the dema policy only".to_owned(),
             ));
         }
-        StubServers::playable(&self.scenario, true)?;
+        StubServers::check_faults_supported(&self.scenario, true)?;
         for node in &self.absent {
             self.check_node("absent", *node)?;
         }
--- a/crates/lab/src/fleet/rig/drain_overrides.rs
+++ b/crates/lab/src/fleet/rig/drain_overrides.rs
@@ -73,7 +73,7 @@
     /// Sends an operator request about a cache to a node, and returns whether the node accepted
     /// it. A node that does not accept it breaks the platform rule.
     async fn send_action(&self, node: usize, cache: usize, action: OperatorAction) -> bool {
-        let id = self.stubs.id(cache);
+        let id = self.stubs.server_id(cache);
         let verb = action.path_segment();
         let path = format!("/control/{verb}");
         let response = operators::post(self.admin_addrs[node], &path, &id).await;
--- a/crates/lab/src/fleet/rig/mod.rs
+++ b/crates/lab/src/fleet/rig/mod.rs
@@ -67,7 +67,7 @@
         rig.wait_for_proxies().await?;
         rig.start_all().await?;
         rig.event_log.restart_clock();
-        rig.stubs.clone().play_faults();
+        rig.stubs.clone().start_faults();
         let start = Instant::now();
         spawn_local(rig.clone().enforce_drain_overrides());
         for fault_index in 0..rig.plan.faults.len() {
--- a/crates/lab/src/fleet/rig/network.rs
+++ b/crates/lab/src/fleet/rig/network.rs
@@ -67,7 +67,7 @@
                 .resetting_faults
                 .set(new_resets(proxy.resetting_faults.get()));
             proxy.update_accept_mode(match id.upstream {
-                Endpoint::Server(server) => *self.stubs.up(server).borrow(),
+                Endpoint::Server(server) => *self.stubs.subscribe_up(server).borrow(),
                 _ => true,
             });
         }
@@ -76,7 +76,7 @@
     fn describe_links(&self, links: &[LinkId]) -> String {
         let name = |endpoint: Endpoint| match endpoint {
             Endpoint::Node(node) => format!("node-{node}"),
-            Endpoint::Server(server) => self.stubs.id(server),
+            Endpoint::Server(server) => self.stubs.server_id(server),
             Endpoint::Discovery => "discovery".to_owned(),
         };
         let names: Vec<_> = links
--- a/crates/lab/src/fleet/rig/proxies.rs
+++ b/crates/lab/src/fleet/rig/proxies.rs
@@ -64,12 +64,15 @@
             spawn_local(stubs.clone().serve(server, connection));
         };
         spawn_local(proxy.clone().run(self.monitor.clone(), serve));
-        spawn_local(follow_server(proxy.clone(), self.stubs.up(server)));
+        spawn_local(follow_server(
+            proxy.clone(),
+            self.stubs.subscribe_up(server),
+        ));
     }
 
     fn open_discovery_proxy(&self, node: usize, proxy: &Rc<Proxy>, block: &AddressBlock) {
         let stubs: Rc<StubServers> = self.stubs.clone();
-        let addrs = (0..stubs.servers())
+        let addrs = (0..stubs.server_count())
             .map(|server| block.server(node, server))
             .collect();
         let discovery = Rc::new(DiscoveryStub { stubs, node, addrs });
--- a/crates/lab/src/fleet/rig/setup.rs
+++ b/crates/lab/src/fleet/rig/setup.rs
@@ -60,11 +60,11 @@
         let stubs = StubServers::new(&plan.scenario, monitor.clone())?;
         let event_log = EventLog::new(monitor.clone());
         let mut links = LinkTable::new(plan.scenario.seed);
-        let proxies = new_proxies(plan, block, stubs.servers(), &mut links)?;
+        let proxies = new_proxies(plan, block, stubs.server_count(), &mut links)?;
         let datagrams = new_datagram_relay(plan, block, &mut links).await?;
         let mut processes = Vec::new();
         for node in 0..plan.scenario.nodes {
-            let endpoint_list = stubs.list(|server| block.server(node, server));
+            let endpoint_list = stubs.endpoint_list(|server| block.server(node, server));
             let config = configuration(plan, block, node, endpoint_list).to_string();
             let spec = ProcessSpec {
                 node,
--- a/crates/lab/src/fleet/rig/verdict.rs
+++ b/crates/lab/src/fleet/rig/verdict.rs
@@ -164,7 +164,7 @@
             max_lateness_s: self.monitor.max_lateness.get(),
             last_attempts: self
                 .stubs
-                .last_attempt
+                .last_attempt_at
                 .borrow()
                 .iter()
                 .map(seconds_since_start)
--- a/crates/lab/src/stub/faults.rs
+++ b/crates/lab/src/stub/faults.rs
@@ -32,7 +32,7 @@
 impl StubServers {
     /// Returns an error if stub servers don't support one of the scenario's faults, with or without
     /// discovery.
-    pub fn playable(scenario: &Scenario, discovery: bool) -> Result<(), LabError> {
+    pub fn check_faults_supported(scenario: &Scenario, discovery: bool) -> Result<(), LabError> {
         let is_supported = |kind: &FaultKind| {
             SUPPORTED_WITHOUT_DISCOVERY.contains(kind)
                 || discovery && SUPPORTED_WITH_DISCOVERY.contains(kind)
@@ -53,7 +53,7 @@
     }
 
     /// Starts the schedule of the scenario's faults.
-    pub fn play_faults(self: Rc<StubServers>) {
+    pub fn start_faults(self: Rc<StubServers>) {
         for fault_index in 0..self.scenario.faults.len() {
             spawn_local(self.clone().run_fault(fault_index));
         }
@@ -64,7 +64,7 @@
         let fault = &self.scenario.faults[fault_index];
         let duration = Duration::from_secs_f64(fault.duration_s);
         let caches = self.affected_caches(fault_index);
-        let origin = [self.origin()];
+        let origin = [self.origin_index()];
         sleep(Duration::from_secs_f64(fault.start_s)).await;
         match fault.kind {
             FaultKind::Hang => {
@@ -75,9 +75,9 @@
             FaultKind::Slow => self.slow_down(&caches, fault.factor, duration).await,
             FaultKind::OriginSlow => self.slow_down(&origin, fault.factor, duration).await,
             FaultKind::OriginStop => {
-                self.take_down(self.origin());
+                self.take_down(self.origin_index());
                 sleep(duration).await;
-                self.bring_up(self.origin());
+                self.bring_up(self.origin_index());
             }
             FaultKind::Crash => {
                 self.terminate(&caches);
@@ -106,7 +106,7 @@
     /// spread over all indexes.
     fn affected_caches(&self, fault_index: usize) -> Vec<usize> {
         let share = self.scenario.faults[fault_index].share;
-        let caches = self.origin();
+        let caches = self.origin_index();
         let affected = ((caches as f64 * share).round() as usize).clamp(1, caches);
         (0..affected)
             .map(|i| (fault_index * 7 + i * caches / affected) % caches)
--- a/crates/lab/src/stub/list.rs
+++ b/crates/lab/src/stub/list.rs
@@ -31,7 +31,7 @@
 
 /// One change of the endpoint list.
 #[derive(Debug, Clone, Copy)]
-pub struct Change {
+pub struct EndpointListChange {
     /// Index of the server that changed.
     pub server: usize,
     /// The server's new state.
@@ -44,19 +44,19 @@
 
 impl StubServers {
     /// Returns the current endpoint list in discovery's format.
-    pub fn list(&self, addr: impl Fn(usize) -> SocketAddr) -> serde_json::Value {
-        let changes = self.changes.borrow();
-        self.list_at(changes.len(), addr)
+    pub fn endpoint_list(&self, addr: impl Fn(usize) -> SocketAddr) -> serde_json::Value {
+        let changes = self.list_changes.borrow();
+        self.endpoint_list_at(changes.len(), addr)
     }
 
     /// Returns the endpoint list as it was after the first `change_count` changes. Its version is
     /// that count plus one.
-    pub fn list_at(
+    pub fn endpoint_list_at(
         &self,
         change_count: usize,
         addr: impl Fn(usize) -> SocketAddr,
     ) -> serde_json::Value {
-        let changes = self.changes.borrow();
+        let changes = self.list_changes.borrow();
         let entries = (0..self.servers.len()).filter_map(|server| {
             let last = changes[..change_count]
                 .iter()
@@ -66,31 +66,31 @@
                 (last.state, last.started_ms)
             });
             (state != ListedState::Terminated)
-                .then(|| self.entry(server, addr(server), state, started_ms))
+                .then(|| self.endpoint_entry(server, addr(server), state, started_ms))
         });
         let entries: Vec<_> = entries.collect();
         serde_json::json!({"version": change_count + 1, "full": true, "servers": entries})
     }
 
     /// Returns a server's entry of the list.
-    pub fn entry(
+    pub fn endpoint_entry(
         &self,
         server: usize,
         addr: SocketAddr,
         state: ListedState,
         started_ms: u64,
     ) -> serde_json::Value {
-        let kind = match server == self.origin() {
+        let kind = match server == self.origin_index() {
             true => "origin",
             false => "cache",
         };
-        serde_json::json!({"id": self.id(server), "addr": addr.to_string(), "kind": kind, "zone": "lab", "cell": 0,
+        serde_json::json!({"id": self.server_id(server), "addr": addr.to_string(), "kind": kind, "zone": "lab", "cell": 0,
                            "state": state.name(), "started_ms": started_ms})
     }
 
     /// Returns a server's id in the list.
-    pub fn id(&self, server: usize) -> String {
-        match server == self.origin() {
+    pub fn server_id(&self, server: usize) -> String {
+        match server == self.origin_index() {
             true => "origin".to_owned(),
             false => format!("cache-{server}"),
         }
@@ -106,12 +106,12 @@
             _ => 0,
         };
         let at = self.monitor.now();
-        self.changes.borrow_mut().push(Change {
+        self.list_changes.borrow_mut().push(EndpointListChange {
             server,
             state,
             started_ms,
             at,
         });
-        self.changed.notify_waiters();
+        self.list_changed.notify_waiters();
     }
 }
--- a/crates/lab/src/stub/mod.rs
+++ b/crates/lab/src/stub/mod.rs
@@ -25,7 +25,7 @@
 use crate::server::{Health, Server};
 
 pub use connection::{NodeConnection, SendTimes};
-pub use list::{Change, ListedState};
+pub use list::{EndpointListChange, ListedState};
 
 /// Upper limit of API calls with recorded misses, and of recorded idempotency keys.
 const MAX_RECORDS: usize = 100_000;
@@ -68,9 +68,9 @@
     executed_keys: RefCell<VecDeque<ExecutedKey>>,
     rng: RefCell<Pcg>,
     /// Changes of the endpoint list, the oldest first.
-    pub changes: RefCell<Vec<Change>>,
+    pub list_changes: RefCell<Vec<EndpointListChange>>,
     /// Notified at each change of the endpoint list.
-    pub changed: Notify,
+    pub list_changed: Notify,
     /// Number of attempts for which a cache had the value.
     pub hits: Cell<u64>,
     /// Number of attempts for which a cache did not have the value.
@@ -82,7 +82,7 @@
     /// How often an overloaded server went down.
     pub overloads: Cell<u64>,
     /// When the last attempt was sent to each server, by server index; 0 before the first one.
-    pub last_attempt: RefCell<Vec<Time>>,
+    pub last_attempt_at: RefCell<Vec<Time>>,
 }
 
 impl StubServers {
@@ -112,21 +112,21 @@
             misses_by_call: RefCell::default(),
             executed_keys: RefCell::default(),
             rng: RefCell::new(rng),
-            changes: RefCell::default(),
-            changed: Notify::new(),
+            list_changes: RefCell::default(),
+            list_changed: Notify::new(),
             hits: Cell::new(0),
             misses: Cell::new(0),
             origin_attempts: Cell::new(0),
             origin_attempts_by_second: RefCell::default(),
             overloads: Cell::new(0),
-            last_attempt: RefCell::new(vec![Time(0); scenario.caches.count + 1]),
+            last_attempt_at: RefCell::new(vec![Time(0); scenario.caches.count + 1]),
         }))
     }
 
     /// Listens on loopback for a single node without proxies, starts the faults' schedule, and
     /// returns the endpoint list.
     pub async fn listen(self: Rc<StubServers>) -> Result<serde_json::Value, LabError> {
-        StubServers::playable(&self.scenario, false)?;
+        StubServers::check_faults_supported(&self.scenario, false)?;
         let stub_error = |e: io::Error| LabError(format!("a stub server: {e}"));
         let mut addrs = Vec::new();
         for server in 0..self.servers.len() {
@@ -145,22 +145,22 @@
                 }
             });
         }
-        self.clone().play_faults();
-        Ok(self.list(|server| addrs[server]))
+        self.clone().start_faults();
+        Ok(self.endpoint_list(|server| addrs[server]))
     }
 
     /// Returns the index of the origin, which is the last server.
-    pub fn origin(&self) -> usize {
+    pub fn origin_index(&self) -> usize {
         self.servers.len() - 1
     }
 
     /// Returns the number of servers, the origin included.
-    pub fn servers(&self) -> usize {
+    pub fn server_count(&self) -> usize {
         self.servers.len()
     }
 
     /// Returns a receiver of whether a server accepts connections, notified at each change.
-    pub fn up(&self, server: usize) -> watch::Receiver<bool> {
+    pub fn subscribe_up(&self, server: usize) -> watch::Receiver<bool> {
         self.servers[server].up.subscribe()
     }
 
@@ -198,10 +198,10 @@
         server: usize,
         connection: NodeConnection<S>,
     ) {
-        let mut up = self.up(server);
+        let mut up = self.subscribe_up(server);
         let serving = async {
             // An I/O error is expected here: a node cancels an attempt by closing its connection.
-            let _ = match server == self.origin() {
+            let _ = match server == self.origin_index() {
                 true => self.serve_as_origin(connection).await,
                 false => self.serve_as_cache(server, connection).await,
             };
@@ -229,7 +229,7 @@
             .unwrap_or(self.monitor.now());
         self.monitor
             .record_sent(sent_at, call, connection.node, server);
-        self.last_attempt.borrow_mut()[server] = sent_at;
+        self.last_attempt_at.borrow_mut()[server] = sent_at;
         Some(call)
     }
 }
--- a/crates/lab/src/stub/origin.rs
+++ b/crates/lab/src/stub/origin.rs
@@ -20,7 +20,7 @@
         self: &Rc<StubServers>,
         mut connection: NodeConnection<S>,
     ) -> io::Result<()> {
-        let origin = self.origin();
+        let origin = self.origin_index();
         let mut buffer = Vec::new();
         let mut offset = 0;
         loop {
@@ -62,7 +62,7 @@
         call: Option<u64>,
         request: OriginRequest,
     ) -> bool {
-        let origin = self.origin();
+        let origin = self.origin_index();
         let misses = self
             .misses_by_call
             .borrow_mut()
