--- a/crates/lab/src/emulator/attempts.rs
+++ b/crates/lab/src/emulator/attempts.rs
@@ -154,7 +154,7 @@
             call_finished: open_call.is_none_or(|open_call| open_call.closed),
         };
         self.with_router(node, |router, effects, now| {
-            router.outcome(now, index, result, effects)
+            router.on_attempt_result(now, index, result, effects)
         });
     }
 
--- a/crates/lab/src/emulator/clients.rs
+++ b/crates/lab/src/emulator/clients.rs
@@ -196,7 +196,7 @@
             time_left,
         };
         self.with_router(node, |router, effects, now| {
-            router.call(now, index, request, effects)
+            router.on_call(now, index, request, effects)
         });
     }
 
@@ -255,7 +255,7 @@
         };
         if !std::mem::replace(&mut open_call.closed, true) {
             self.with_router(node, |router, effects, now| {
-                router.withdrawn(now, index, effects)
+                router.on_client_cancelled(now, index, effects)
             });
         }
     }
--- a/crates/lab/src/emulator/dispatch.rs
+++ b/crates/lab/src/emulator/dispatch.rs
@@ -66,7 +66,7 @@
     fn on_policy_timer(&mut self, node: usize, node_incarnation: u64) {
         if self.is_current(node, node_incarnation) && self.sim.now <= self.sim.end + CALL_RETENTION
         {
-            self.with_router(node, |router, effects, now| router.tick(now, effects));
+            self.with_router(node, |router, effects, now| router.on_timer(now, effects));
         }
     }
 
--- a/crates/lab/src/emulator/nodes.rs
+++ b/crates/lab/src/emulator/nodes.rs
@@ -89,7 +89,7 @@
         let Node { node_state, router } = &mut self.nodes[node];
         let sim = &mut self.sim;
         let effects = &mut Effects { sim, node_state };
-        router.list(now, complete, endpoints.into_iter(), effects);
+        router.on_endpoint_list(now, complete, endpoints.into_iter(), effects);
     }
 
     pub(super) fn send_all_endpoints(&mut self, node: usize) {
--- a/crates/lab/src/routers/baseline.rs
+++ b/crates/lab/src/routers/baseline.rs
@@ -161,7 +161,7 @@
 impl<P: Pick> Router for Baseline<P> {
     fn on_start<A: PolicyActions>(&mut self, _now: Time, _actions: &mut A) {}
 
-    fn list<'a, A: PolicyActions>(
+    fn on_endpoint_list<'a, A: PolicyActions>(
         &mut self,
         _now: Time,
         complete: bool,
@@ -190,7 +190,7 @@
         self.caches.sort_by_key(|cache| cache.server);
     }
 
-    fn call<A: PolicyActions>(
+    fn on_call<A: PolicyActions>(
         &mut self,
         now: Time,
         index: CallIndex,
@@ -212,14 +212,19 @@
         self.send_attempt(now, index, actions);
     }
 
-    fn withdrawn<A: PolicyActions>(&mut self, _now: Time, index: CallIndex, actions: &mut A) {
+    fn on_client_cancelled<A: PolicyActions>(
+        &mut self,
+        _now: Time,
+        index: CallIndex,
+        actions: &mut A,
+    ) {
         if let Some(call) = self.calls.get_mut(&index) {
             call.ended = true;
             self.finish(index, actions);
         }
     }
 
-    fn outcome<A: PolicyActions>(
+    fn on_attempt_result<A: PolicyActions>(
         &mut self,
         now: Time,
         index: CallIndex,
@@ -249,5 +254,5 @@
         }
     }
 
-    fn tick<A: PolicyActions>(&mut self, _now: Time, _actions: &mut A) {}
+    fn on_timer<A: PolicyActions>(&mut self, _now: Time, _actions: &mut A) {}
 }
--- a/crates/lab/src/routers/faulty.rs
+++ b/crates/lab/src/routers/faulty.rs
@@ -57,7 +57,7 @@
         self.inner.on_start(now, actions);
     }
 
-    fn list<'a, A: PolicyActions>(
+    fn on_endpoint_list<'a, A: PolicyActions>(
         &mut self,
         now: Time,
         complete: bool,
@@ -80,10 +80,10 @@
             self.forbidden_server = Some(endpoint.server);
         }
         self.inner
-            .list(now, complete, endpoints.into_iter(), actions);
+            .on_endpoint_list(now, complete, endpoints.into_iter(), actions);
     }
 
-    fn call<A: PolicyActions>(
+    fn on_call<A: PolicyActions>(
         &mut self,
         now: Time,
         call: CallIndex,
@@ -102,20 +102,25 @@
                 actions.dispatch(call, server, deadline, deadline)
             }
             _ => {
-                self.inner.call(now, call, request, actions);
+                self.inner.on_call(now, call, request, actions);
             }
         }
     }
 
-    fn withdrawn<A: PolicyActions>(&mut self, now: Time, call: CallIndex, actions: &mut A) {
+    fn on_client_cancelled<A: PolicyActions>(
+        &mut self,
+        now: Time,
+        call: CallIndex,
+        actions: &mut A,
+    ) {
         match self.misbehavior {
             Misbehavior::NeverResponds => actions.release_call(call),
             Misbehavior::RespondsTwice => {}
-            _ => self.inner.withdrawn(now, call, actions),
+            _ => self.inner.on_client_cancelled(now, call, actions),
         }
     }
 
-    fn outcome<A: PolicyActions>(
+    fn on_attempt_result<A: PolicyActions>(
         &mut self,
         now: Time,
         call: CallIndex,
@@ -129,10 +134,10 @@
                 return actions.dispatch(call, server, deadline, deadline);
             }
         }
-        self.inner.outcome(now, call, result, actions);
+        self.inner.on_attempt_result(now, call, result, actions);
     }
 
-    fn tick<A: PolicyActions>(&mut self, now: Time, actions: &mut A) {
-        self.inner.tick(now, actions);
+    fn on_timer<A: PolicyActions>(&mut self, now: Time, actions: &mut A) {
+        self.inner.on_timer(now, actions);
     }
 }
--- a/crates/lab/src/routers/mod.rs
+++ b/crates/lab/src/routers/mod.rs
@@ -20,7 +20,7 @@
 
     /// Handles an endpoint list or an update of it. If `complete`, servers that it doesn't name are
     /// delisted.
-    fn list<'a, A: PolicyActions>(
+    fn on_endpoint_list<'a, A: PolicyActions>(
         &mut self,
         now: Time,
         complete: bool,
@@ -29,7 +29,7 @@
     );
 
     /// Handles a new API call.
-    fn call<A: PolicyActions>(
+    fn on_call<A: PolicyActions>(
         &mut self,
         now: Time,
         call: CallIndex,
@@ -38,10 +38,15 @@
     );
 
     /// Handles the disconnection of an API call's client.
-    fn withdrawn<A: PolicyActions>(&mut self, now: Time, call: CallIndex, actions: &mut A);
+    fn on_client_cancelled<A: PolicyActions>(
+        &mut self,
+        now: Time,
+        call: CallIndex,
+        actions: &mut A,
+    );
 
     /// Handles the result of an attempt.
-    fn outcome<A: PolicyActions>(
+    fn on_attempt_result<A: PolicyActions>(
         &mut self,
         now: Time,
         call: CallIndex,
@@ -50,7 +55,7 @@
     );
 
     /// Handles the expiry of the timer that the router has set.
-    fn tick<A: PolicyActions>(&mut self, now: Time, actions: &mut A);
+    fn on_timer<A: PolicyActions>(&mut self, now: Time, actions: &mut A);
 }
 
 impl Router for Balancer {
@@ -58,7 +63,7 @@
         Balancer::start(self, now, actions);
     }
 
-    fn list<'a, A: PolicyActions>(
+    fn on_endpoint_list<'a, A: PolicyActions>(
         &mut self,
         now: Time,
         complete: bool,
@@ -68,7 +73,7 @@
         self.on_endpoint_list(now, complete, endpoints, actions);
     }
 
-    fn call<A: PolicyActions>(
+    fn on_call<A: PolicyActions>(
         &mut self,
         now: Time,
         call: CallIndex,
@@ -78,11 +83,16 @@
         self.on_call(now, call, request, actions);
     }
 
-    fn withdrawn<A: PolicyActions>(&mut self, now: Time, call: CallIndex, actions: &mut A) {
+    fn on_client_cancelled<A: PolicyActions>(
+        &mut self,
+        now: Time,
+        call: CallIndex,
+        actions: &mut A,
+    ) {
         self.on_client_cancelled(now, call, actions);
     }
 
-    fn outcome<A: PolicyActions>(
+    fn on_attempt_result<A: PolicyActions>(
         &mut self,
         now: Time,
         call: CallIndex,
@@ -92,7 +102,7 @@
         self.on_attempt_result(now, call, result, actions);
     }
 
-    fn tick<A: PolicyActions>(&mut self, now: Time, actions: &mut A) {
+    fn on_timer<A: PolicyActions>(&mut self, now: Time, actions: &mut A) {
         self.on_timer(now, actions);
     }
 }
