--- a/crates/lab/src/fleet/rig/verdict.rs
+++ b/crates/lab/src/fleet/rig/verdict.rs
@@ -144,7 +144,7 @@
     }
 
     pub(super) fn outcome(&self, report: Report, views: &MembershipViews) -> Outcome {
-        let (violations, violation_count) = self.monitor.verdict();
+        let (violations, violation_count) = self.monitor.violations();
         let start = self.event_log.start();
         let seconds_since_start = |at: &Time| (*at - start).seconds();
         Outcome {
@@ -164,7 +164,7 @@
             max_lateness_s: self.monitor.max_lateness.get(),
             last_attempts: self
                 .stubs
-                .last_attempt
+                .last_attempt_at
                 .borrow()
                 .iter()
                 .map(seconds_since_start)
--- a/crates/lab/src/stub/cache.rs
+++ b/crates/lab/src/stub/cache.rs
@@ -92,11 +92,11 @@
         command: CacheCommand,
     ) -> Option<&'static [u8]> {
         let product = &self.scenario.products[self.product_index(&command.attributes)];
-        let base_duration = self.draw_duration(product.work_ms);
+        let drawn_duration = self.draw_duration(product.work_ms);
         let work = Work {
             key: command.key,
             write: false,
-            duration: base_duration,
+            base_duration: drawn_duration,
             caused_by_cold_miss: false,
         };
         if !self.admit_work(server, work) {
@@ -108,13 +108,14 @@
             (is_hit, model.is_warming_up(self.monitor.now()))
         };
         if let Some(call) = call {
-            self.monitor.began(call, server, !is_hit);
+            self.monitor.record_execution(call, server, !is_hit);
         }
         let work_ratio = match is_hit {
             true => 1.0,
             false => self.scenario.caches.miss_work_ratio,
         };
-        self.run_work(server, base_duration.times(work_ratio)).await;
+        self.run_work(server, drawn_duration.times(work_ratio))
+            .await;
         if is_hit {
             self.hits.set(self.hits.get() + 1);
             return Some(HIT);
--- a/crates/lab/tests/validation.rs
+++ b/crates/lab/tests/validation.rs
@@ -87,7 +87,7 @@
                 "{:?} at {:.0} ms: {} {}",
                 violation.rule,
                 violation.at.ms(),
-                violation.what,
+                violation.description,
                 violation.history
             )
         });
@@ -113,7 +113,7 @@
                 faulty
             }
         };
-        let report = Emulator::new(&scenario, make_router).play();
+        let report = Emulator::new(&scenario, make_router).run();
         let rules: Vec<Rule> = report
             .violations
             .iter()
