--- a/crates/policy/src/actions.rs
+++ b/crates/policy/src/actions.rs
@@ -11,7 +11,7 @@
     fn dispatch(&mut self, call: CallIndex, server: ServerIndex, deadline: Time, write_by: Time);
     /// Cancels an attempt in flight.
     fn cancel(&mut self, call: CallIndex, attempt: usize);
-    /// Rejects a call that has taken no effect; the client may retry it after `retry_after`.
+    /// Rejects a call as having had no effect; the client may retry it after `retry_after`.
     fn rate_limit(&mut self, call: CallIndex, retry_after: Option<Span>);
     /// Responds to a call with an error.
     fn fail(&mut self, call: CallIndex);
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -108,9 +108,8 @@
         let min_total_quota = self.record_traffic(now);
         let tenant = &mut self.tenants[tenant];
         // A tenant's quota at a node may be less than a call per second, and a front end may send
-        // one node far more than its fraction of the traffic, which includes other nodes' fractions
-        // of the quotas. With the plain quota and burst, such a node would take most calls for
-        // calls over quota.
+        // one node far more than its fraction of the traffic, up to the fractions of other nodes as
+        // well. With the plain quota and burst, such a node would treat most calls as over quota.
         let quota_per_second =
             tenant.quota_per_second * (min_total_quota / self.total_quota_per_second).max(1.0);
         let burst_seconds = (MIN_QUOTA_BURST_CALLS / quota_per_second).max(MIN_QUOTA_BURST_SECONDS);
--- a/crates/policy/src/attempt_completion.rs
+++ b/crates/policy/src/attempt_completion.rs
@@ -37,8 +37,8 @@
     }
 
     /// Handles the first byte of a streamed response. From here on the client is served by this
-    /// attempt: the call's other attempts are cancelled, and it gets no further ones when it
-    /// becomes overdue.
+    /// attempt: the call's other attempts are cancelled if cancelling is permitted, and the call
+    /// gets no further ones.
     pub fn on_first_byte(
         &mut self,
         now: Time,
@@ -232,8 +232,8 @@
     /// budget.
     fn record_miss(&mut self, index: CallIndex, from_origin: bool, outcome: Outcome) {
         let call = &mut self.calls[index.0];
-        // A call that crashes the cache it is sent to would crash the next one as well, so the
-        // origin gets it instead.
+        // A reset may mean that the call crashes the caches it is sent to, so the origin gets it
+        // instead of the next cache.
         let reset_by_cache =
             outcome == Outcome::Reset && !call.write && self.origin.accepts_unmissed_read(self.now);
         let missed = outcome == Outcome::Miss;
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -134,7 +134,8 @@
         }
     }
 
-    /// Resets all learnt values to their initial state for a new fleet of caches.
+    /// Resets the caches' response times, the outlier estimates, the limit on idle connections and
+    /// the hedge tokens to their initial values, for caches about which nothing is known.
     pub(crate) fn reset_caches(&mut self) {
         self.cache_load.reset_latencies(&self.products);
         self.idle_connections.connected_ratio = 1.0;
--- a/crates/policy/src/concurrency_limiter.rs
+++ b/crates/policy/src/concurrency_limiter.rs
@@ -20,7 +20,8 @@
     /// Attempts that may be in flight, in slots; below `MAX_BURST_ATTEMPTS` it also acts as a rate.
     pub(crate) limit: f64,
     pub(crate) min_limit: f64,
-    /// Limit up to which successes raise it while no call waits for a slot.
+    /// Value up to which responses within the target time raise the limit while no call waits for
+    /// a slot.
     pub(crate) max_unsaturated_limit: f64,
     /// Response time that the limit is adjusted for, in microseconds.
     pub(crate) target_micros: f64,
@@ -94,7 +95,7 @@
         self.tokens_updated = now;
     }
 
-    /// Raises a limit below one slot by itself. The limit stays bounded: otherwise the limits of
+    /// Raises a limit below one slot as time passes. The rise is bounded: otherwise the limits of
     /// all nodes would grow while idle and then be used up all at once.
     pub(crate) fn recover(&mut self, elapsed_seconds: f64) {
         if self.limit < self.max_unsaturated_limit.min(1.0) {
--- a/crates/policy/src/config.rs
+++ b/crates/policy/src/config.rs
@@ -10,7 +10,7 @@
 pub enum Idempotency {
     /// May be executed any number of times.
     Idempotent,
-    /// Servers discard repeated executions within the product's window and scope.
+    /// Servers discard repeats of the call within the product's window and scope.
     Deduplicated,
     /// Must not be executed twice.
     NonIdempotent,
--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -130,7 +130,7 @@
         // A stale list may be received again, but a process never gets an earlier start time.
         let restarted = server.started < endpoint.started;
         if restarted || endpoint.state != EndpointState::Ready {
-            // A server that has restarted or stopped refused connections for that reason, not
+            // The server refused these connections because it was restarting or had stopped, not
             // because it was full.
             let refused = std::mem::take(&mut server.refused_connections);
             self.idle_connections.forget_refused(refused);
--- a/crates/policy/src/endpoint_list_poller.rs
+++ b/crates/policy/src/endpoint_list_poller.rs
@@ -33,8 +33,8 @@
     }
 
     /// Schedules the next poll at random with exponential backoff: nodes that start or lose their
-    /// subscription at the same time would otherwise overload a discovery service that can answer
-    /// few at a time.
+    /// subscription at the same time would otherwise overload a discovery service that can serve
+    /// only a few nodes at a time.
     fn schedule(&mut self, now: Time, rng: &mut Pcg) {
         let backoff = BACKOFF_FACTOR.powi(self.failures.min(MAX_BACKOFF_FAILURES) as i32);
         let delay_ratio = SPREAD_RATIO * backoff * rng.unit();
--- a/crates/policy/src/hot_keys.rs
+++ b/crates/policy/src/hot_keys.rs
@@ -1,5 +1,5 @@
-//! Hot keys: counts how often each key is called at this node, and decides over how many caches to
-//! spread it.
+//! Hot keys: counts the calls for each key at this node, and decides over how many caches to spread
+//! the key.
 use crate::time::Time;
 
 /// Number of counters; keys are mapped to them by their hashes.
@@ -8,7 +8,7 @@
 const HALF_LIFE_SECONDS: f64 = 15.0;
 /// Assumed calls for other keys, so that the first calls do not make a key look hot.
 const PRIOR_OTHER_CALLS: f64 = 16.0;
-/// Number of caches for a key that is called as often as all keys of an average cache together.
+/// Number of caches for a key with as many calls as all keys of an average cache together.
 const REPLICAS_PER_CACHE_SHARE: f64 = 3.0;
 
 /// A count that decays exponentially over time.
@@ -43,8 +43,7 @@
         self.counters.resize(COUNTERS, DecayingCounter::default());
         let count = self.counters[key as usize % COUNTERS].increment(now);
         let total = self.total.increment(now);
-        // Some keys look hot by chance, so only the part of the count above its standard deviation
-        // counts.
+        // Some keys look hot by chance, so the count's standard deviation is subtracted from it.
         let significant = count - count.sqrt();
         REPLICAS_PER_CACHE_SHARE * caches as f64 * significant / (total + PRIOR_OTHER_CALLS)
     }
--- a/crates/policy/src/key_health.rs
+++ b/crates/policy/src/key_health.rs
@@ -64,8 +64,8 @@
     }
 
     /// Creates a limiter for a key that fails at several caches. Without it, calls for such a key,
-    /// for example one behind a lock, would fill all caches while they wait, even after their
-    /// clients have timed out.
+    /// for example one behind a lock, would fill all caches while they wait, even calls that no
+    /// client waits for any more.
     pub(crate) fn limit_if_failing(
         &mut self,
         key: u64,
--- a/crates/policy/src/new_call.rs
+++ b/crates/policy/src/new_call.rs
@@ -8,8 +8,8 @@
 use crate::request::{CallIndex, CallRequest};
 use crate::time::{Span, Time};
 
-/// Calls without a key get a random one of this many: the number of integers that a float
-/// represents exactly.
+/// Calls without a key get a random one below this number, up to which an `f64` represents every
+/// integer exactly.
 const RANDOM_KEYS: f64 = (1u64 << 53) as f64;
 
 impl Balancer {
--- a/crates/policy/src/origin.rs
+++ b/crates/policy/src/origin.rs
@@ -17,8 +17,8 @@
 const START_SLOTS_ALL_NODES: f64 = 200.0;
 /// Least limit of all nodes together, in slots.
 const MIN_SLOTS_ALL_NODES: f64 = 2.0;
-/// Limit of all nodes together, in slots, up to which successes raise it while no call waits for a
-/// slot.
+/// Limit of all nodes together, in slots, up to which responses within the target time raise the
+/// limits while no call waits for a slot.
 const MAX_UNSATURATED_SLOTS_ALL_NODES: f64 = 800.0;
 /// Largest number of slots beyond the limit that are reserved for writes.
 const MAX_WRITE_SLOTS: f64 = 1.0;
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -74,7 +74,8 @@
 }
 
 impl OutlierDetector {
-    /// Resets all estimates for an unknown fleet.
+    /// Resets the fleet's response times and success ratios to those assumed for caches about which
+    /// nothing is known.
     pub(crate) fn reset(&mut self, shortest_objective: Span) {
         let objective_micros = shortest_objective.0 as f64;
         self.median_micros = objective_micros * MIN_HEDGE_DELAY_RATIO;
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -26,7 +26,7 @@
     /// restarted without being listed again yet.
     ///
     /// The response rate per cache is computed with at least the mean number of caches: after
-    /// caches are removed, the rate was still achieved by more of them.
+    /// caches are removed, the mean rate still includes their responses.
     pub(crate) fn has_credit(
         &self,
         server: &mut Server,
--- a/crates/policy/src/timer.rs
+++ b/crates/policy/src/timer.rs
@@ -87,8 +87,7 @@
         self.origin.servers.retain(is_ready);
     }
 
-    /// Shrinks the tables to their used part, so that they do not keep the size of their largest
-    /// load.
+    /// Shrinks the tables to their used part, so that they do not keep the size of the peak load.
     fn shrink_tables(&mut self) {
         let last_server = self.servers.iter().rposition(Server::is_known);
         self.servers.truncate(last_server.map_or(0, |i| i + 1));
--- a/crates/policy/tests/decisions/origin_limit.rs
+++ b/crates/policy/tests/decisions/origin_limit.rs
@@ -82,8 +82,8 @@
     );
 }
 
-// A call with little time left must not wait past its client timeout because a queued call gets the
-// slot that it came for.
+// A call with a few milliseconds left must not wait past its client timeout because a queued call
+// gets the slot that it came for.
 #[test]
 fn nearly_expired_call_is_rejected_at_once_if_queue_takes_slot() {
     let mut node = Node::new(1, &[("balancers", Value::Number(150.0))]);
--- a/crates/policy/tests/decisions/slow_start_fleet.rs
+++ b/crates/policy/tests/decisions/slow_start_fleet.rs
@@ -17,7 +17,7 @@
 /// How the traffic changes.
 #[derive(Clone, Copy, PartialEq)]
 enum Shift {
-    /// At first no key belongs to the cold cache, then all keys do.
+    /// At first no reads are for keys of the cold cache, then all are.
     AllKeys,
     /// Three times as many reads arrive, a quarter of them for keys of the cold cache.
     MoreReads,
--- a/crates/policy/tests/decisions/zone_paths.rs
+++ b/crates/policy/tests/decisions/zone_paths.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Processes the node's actions since the last call.
+    /// Processes the actions that the node has recorded since this function last ran.
     fn record_actions(&mut self, behavior: ServerBehavior) {
         for action in std::mem::take(&mut self.node.trace.0).lines() {
             self.rate_limited += usize::from(action.contains("rate-limited"));
--- a/crates/settings/src/policy_config.rs
+++ b/crates/settings/src/policy_config.rs
@@ -1,5 +1,5 @@
-//! Reads the policy's configuration from settings. Only this module knows the names of the
-//! settings; the policy does not.
+//! Reads the policy's configuration from settings. The names of the settings are known here; the
+//! policy knows none of them.
 use quartzhub_policy::{
     DedupScope, EndpointListConfig, Idempotency, PolicyConfig, Product, RetryBudgetConfig,
     SlowStartConfig, Span,
