--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -34,8 +34,8 @@
     pub(crate) last_used: Time,
     /// Number of connections that it has refused since its last response.
     pub(crate) refused_connections: u32,
-    /// While attempts are in flight: when it last responded or, if none was in flight then, when
-    /// the first of them was sent. `None` if there are none, or after a restart.
+    /// For a cache with attempts in flight: when it last responded or, if none was in flight then,
+    /// when the first of them was sent. `None` if there are none, or after a restart.
     pub(crate) silent_since: Option<Time>,
     /// Number of attempts in flight when it last rejected one as overloaded; infinite if it has
     /// not since it started.
