--- a/crates/node/src/effects.rs
+++ b/crates/node/src/effects.rs
@@ -80,8 +80,9 @@
         })
     }
 
-    /// Samples the wall clock. Servers report their start in wall-clock time, so this has to be
-    /// called often enough that few of them start between two steps of that clock.
+    /// Samples the wall clock, in whose time servers report their start. Of two steps of that clock
+    /// between two samples, only the sum is recorded, so this has to be called often enough that
+    /// few servers start between two such steps.
     pub fn sample_wall_clock(&self) {
         self.wall_clock
             .borrow_mut()
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -141,7 +141,7 @@
     /// Part of the client timeout that is set aside for the network between client and node, both
     /// ways.
     pub network_allowance: Span,
-    /// Time after its client timeout at which an API call without a final response is ended with an
+    /// Time after its deadline at which an API call without a final response is ended with an
     /// error.
     pub call_overdue_after: Span,
     /// Lateness of the policy's timer above which the process counts as having stalled.
@@ -151,10 +151,9 @@
     pub stall_read_window: Span,
 
     // Listening.
-    /// Delay between two attempts to listen on an address that is in use.
+    /// Delay between two attempts to listen, while the address is in use or resources have run out.
     pub listen_retry_interval: Span,
-    /// Time after the start of the process until which attempts to listen on an address that is in
-    /// use are repeated.
+    /// Time after the start of the process until which such attempts to listen are repeated.
     pub listen_retry_timeout: Span,
     /// Delay after an accept that failed because descriptors or other resources ran out.
     pub accept_retry_interval: Span,
@@ -199,7 +198,7 @@
     pub shutdown_poll_interval: Span,
 
     // Reload.
-    /// Retries of reading a configuration file that can't be read at SIGHUP.
+    /// Most retries of reading a configuration file that can't be read at SIGHUP.
     pub reload_retries: usize,
     /// Delay between two of these retries.
     pub reload_retry_interval: Span,
--- a/crates/node/src/limits/fixed.rs
+++ b/crates/node/src/limits/fixed.rs
@@ -104,7 +104,8 @@
 
     drain_notice: Span::ms(350),
     drain_close_idle_after: Span::ms(1_500),
-    // 4 s after the drain began, no client may have sent a command within the last 2 s.
+    // Operators require that, 4 s after the drain began, no connection carries a command of the
+    // last 2 s.
     drain_stop_reading_after: Span::ms(1_700),
     final_partial_command_timeout: Span::ms(500),
 
--- a/crates/node/src/limits/tests.rs
+++ b/crates/node/src/limits/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 use quartzhub_settings::{Settings, Value};
 
-/// Time within which operators require a response to a misbehaving client, or its close.
+/// Time within which operators require that a misbehaving client gets a response or is closed.
 const BAD_CLIENT_LIMIT: Span = Span::ms(3_000);
 /// Time from the end of the longest client timeout after SIGTERM to SIGKILL.
 const KILL_AFTER: Span = Span::ms(700);
--- a/crates/node/src/reducer/client_events.rs
+++ b/crates/node/src/reducer/client_events.rs
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Responds to a PING of the front, which asks whether the node accepts new clients: `ready` if
-    /// it does, else an error, both in RESP format.
+    /// Responds to a PING of the front load balancer, which asks whether the node accepts new
+    /// clients: `ready` if it does, else an error, both in RESP format.
     pub fn respond_ping(&mut self, now: Time, id: ClientId, ready: Vec<u8>) {
         let response = if self.state.service.accepts_new_clients() {
             ready
--- a/crates/node/src/reducer/clients.rs
+++ b/crates/node/src/reducer/clients.rs
@@ -147,9 +147,9 @@
         idle.map(|(id, _)| *id).collect()
     }
 
-    /// Returns the idle client to evict first: one that has made no API call before any other, and
-    /// among equals the one idle longest. Without this order, clients that connect and send
-    /// nothing could displace those that make calls.
+    /// Returns the idle client to evict first. Clients that have made no API call precede those
+    /// that have, and among equals the one idle longest is first. Without this order, clients that
+    /// connect and send nothing could displace those that make calls.
     pub(super) fn first_evictable(&self, now: Time, limits: &Limits) -> Option<ClientId> {
         let is_evictable = |client: &Client| {
             let after = if client.has_made_calls {
--- a/crates/node/src/reducer/endpoint_list.rs
+++ b/crates/node/src/reducer/endpoint_list.rs
@@ -19,8 +19,8 @@
 const ORIGIN_KIND: &str = "extra.origin_kind";
 /// The name of the origin's machine kind if the settings give no index.
 const DEFAULT_ORIGIN_KIND: &str = "origin";
-/// The state in the endpoint list of a server that is in use. A server whose state is neither this
-/// nor `TERMINATED`, or is unknown to this version, gets no new attempts.
+/// The state in the endpoint list of a server that is in use. In any state other than this and
+/// `TERMINATED`, also one unknown to this version, a server gets no new attempts.
 const IN_SERVICE: &str = "in_service";
 /// The state in the endpoint list of a server that is gone.
 const TERMINATED: &str = "terminated";
@@ -229,14 +229,15 @@
         .filter(|endpoint| endpoint.state == EndpointState::Ready)
         .filter_map(|endpoint| Some((servers[endpoint.server].addr?, endpoint.server)))
         .collect();
-    let is_listed = |index: ServerIndex| endpoints.iter().any(|endpoint| endpoint.server == index);
+    let is_in_update =
+        |index: ServerIndex| endpoints.iter().any(|endpoint| endpoint.server == index);
     let mut superseded = Vec::new();
     for (index, server) in servers.iter_mut() {
         if server.state == EndpointState::Gone || server.is_origin {
             continue;
         }
         let successor = server.addr.and_then(|addr| ready_by_addr.get(&addr));
-        if successor.is_none_or(|successor| *successor == index) || is_listed(index) {
+        if successor.is_none_or(|successor| *successor == index) || is_in_update(index) {
             continue;
         }
         server.state = EndpointState::Gone;
--- a/crates/node/src/reducer/mod.rs
+++ b/crates/node/src/reducer/mod.rs
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Ends an API call that still has no final response well after its client timeout. Without
+    /// Ends an API call that has no final response `call_overdue_after` past its deadline. Without
     /// this, a fault that loses track of a call would leave its client without any response.
     fn on_call_overdue(&mut self, now: Time, index: CallIndex) {
         let overdue_after = self.state.limits.call_overdue_after;
--- a/crates/node/src/reducer/service_events.rs
+++ b/crates/node/src/reducer/service_events.rs
@@ -49,8 +49,8 @@
         self.state.service.on_listening();
     }
 
-    /// Takes the node out of service on an operator's request: the front is notified, and once it
-    /// has had time to react, clients are closed between responses.
+    /// Takes the node out of service on an operator's request: PING gets an error from now on, and
+    /// once the front load balancer has had time to react, clients are closed between responses.
     pub fn leave_service(&mut self, now: Time) {
         self.advance_clock(now);
         self.state.service.start_draining(now);
--- a/crates/node/src/reducer/upstream_events.rs
+++ b/crates/node/src/reducer/upstream_events.rs
@@ -214,9 +214,9 @@
         self.report_finished_attempts();
     }
 
-    /// Handles further bytes of a response that is not complete yet, and sets a deadline for the
-    /// next ones. Without it, an attempt whose response is shorter than its stated length would
-    /// stay in flight until the deadline of its call.
+    /// Handles bytes of a response that is not complete yet, the first or further ones, and sets a
+    /// deadline for the next. Without it, an attempt whose response is shorter than its stated
+    /// length would stay in flight until the deadline of its call.
     pub fn on_partial_response(&mut self, now: Time, id: UpstreamId) {
         self.advance_clock(now);
         let state = &mut self.state;
--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -75,12 +75,12 @@
 
     /// Whether `PING`, the health check of the front load balancer, succeeds, so that it sends new
     /// clients to this node. It succeeds during a shutdown too: the front load balancer notices
-    /// that by the closed connections.
+    /// the shutdown by the closed connections.
     pub fn accepts_new_clients(&self) -> bool {
         !matches!(self.phase, Phase::Draining { .. })
     }
 
-    /// Whether no further commands are read from clients. Otherwise a client that always has a
+    /// Whether no further commands are read from clients. Without this, a client that always has a
     /// command pending would never be closed between responses.
     pub fn stops_reading(&self, now: Time, limits: &Limits) -> bool {
         matches!(
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -35,7 +35,7 @@
     respond_by: Span,
     /// When clients that are still connected are drained.
     disconnect_at: Span,
-    /// When the process exits at the latest, unless it has just stalled.
+    /// When the exit begins at the latest.
     exit_at: Span,
     /// From when on a stall no longer postpones the exit.
     postpone_until: Span,
