--- a/crates/node/tests/reducer/clients.rs
+++ b/crates/node/tests/reducer/clients.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn drained_node_closes_clients_after_the_leave_notice() {
+fn drained_node_closes_clients_after_the_drain_notice() {
     let mut harness = Harness::builder().start();
     harness.reducer.on_listening();
     let idle = harness.add_client();
