--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -151,9 +151,10 @@
     pub stall_read_window: Span,
 
     // Listening.
-    /// Delay between two attempts to listen, while the address is in use or resources have run out.
+    /// Delay between two attempts to listen after a transient failure, such as an address in use.
     pub listen_retry_interval: Span,
-    /// Time after the start of the process until which such attempts to listen are repeated.
+    /// Time after the start of the process until which attempts to listen are repeated after a
+    /// transient failure.
     pub listen_retry_timeout: Span,
     /// Delay after an accept that failed because descriptors or other resources ran out.
     pub accept_retry_interval: Span,
