--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -54,7 +54,7 @@
     pub(super) arrivals: ArrivalTimes,
     pub(super) reservation: BufferReservation<'a>,
     pub(super) large_command: Option<LargeCommand>,
-    /// False after QUIT or a malformed or rejected command: nothing more is read.
+    /// False once nothing more is read: after QUIT, a protocol error or a rejected large command.
     pub(super) reading: bool,
     /// When the client last sent a command or was last written to.
     pub(super) last_active: Time,
@@ -215,9 +215,9 @@
         let deadline = self.deadline(outstanding);
         let at_call_limit =
             outstanding.calls + outstanding.unwritten >= limits.open_calls_per_client;
-        // At the call limit one more read is made, to record when the next commands arrived.
+        // At the call limit up to `read_bytes` are read ahead, to time the next commands' arrival.
         let reads_ahead = at_call_limit && self.buffer.unread().len() < limits.read_bytes;
-        // Not while streaming: commands read then get no response if the stream breaks off.
+        // While streaming nothing is read: if the value breaks off, commands read get no response.
         let reads = self.reading
             && !self.is_streaming()
             && (!at_call_limit || reads_ahead)
--- a/crates/node/src/discovery/backoff.rs
+++ b/crates/node/src/discovery/backoff.rs
@@ -43,8 +43,9 @@
     }
 
     /// Timeout for the first complete line of the next watch. It does not keep growing: otherwise
-    /// timeouts in a row, from the moment discovery is back, could exceed the period after which
-    /// all its updates count as notified. Every third watch gets more time, for a slow discovery.
+    /// consecutive timeouts, counted from the moment at which discovery is back, could exceed the
+    /// period after which all its updates count as notified. Every third consecutive watch without
+    /// a complete line gets more time, for a slow discovery.
     pub fn open_timeout(&self) -> Span {
         if self.watches_without_line % SLOW_OPEN_PERIOD == SLOW_OPEN_PERIOD - 1 {
             self.limits.watch_slow_open_timeout
--- a/crates/node/src/discovery/watch.rs
+++ b/crates/node/src/discovery/watch.rs
@@ -179,7 +179,7 @@
             if self.executor.clock.now() >= line_deadline {
                 return Err(WatchError::LineTimedOut);
             }
-            // An endless head or chunk must not exhaust the memory.
+            // A head, chunk header or chunk without end must not exhaust the memory.
             let max_bytes = limits.endpoint_list_line_bytes + limits.http_head_bytes;
             if self.received.unread().len() > max_bytes {
                 return Err(WatchError::MessageTooLong);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -131,7 +131,7 @@
     executor
 }
 
-/// Starts the messages between nodes, if membership is on.
+/// Starts communication with the other nodes, if membership is on.
 async fn start_peers(
     config: &Config,
     executor: &Rc<EffectExecutor>,
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -22,7 +22,7 @@
 pub struct Metrics<'a> {
     /// Final responses by product.
     pub responses: BTreeMap<&'a str, ResponseCounts>,
-    /// Attempts at caches and the origin whose last byte was written.
+    /// Attempts at caches and the origin whose request was written to its last byte.
     #[serde(rename = "tries")]
     pub attempts: u64,
     /// API calls that are open now, including those whose value is being streamed.
--- a/crates/node/src/peers/drain_overrides.rs
+++ b/crates/node/src/peers/drain_overrides.rs
@@ -13,7 +13,7 @@
 /// Why an operator's drain override of a server is rejected.
 #[derive(Debug, Error)]
 pub enum DrainOverrideError {
-    /// This server must not be drained.
+    /// This server can't be drained.
     #[error(transparent)]
     NotDrainable(#[from] DrainRejected),
     /// There is no drain override that could be revoked.
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Notifies the other nodes that this one leaves in order.
+    /// Notifies other nodes that this one leaves as planned.
     pub fn leave(&self) {
         let mut out = Vec::new();
         let now = self.clock.now();
--- a/crates/node/src/peers/view.rs
+++ b/crates/node/src/peers/view.rs
@@ -21,7 +21,8 @@
     #[serde(rename = "number")]
     incarnation: u32,
     since_ms: f64,
-    /// Time since this node last received a datagram of its current incarnation, in milliseconds.
+    /// Time in milliseconds since the viewing node last received a datagram of this node's current
+    /// incarnation.
     heard_ms: Option<f64>,
     suspected_by: Vec<u16>,
 }
--- a/crates/node/src/resp.rs
+++ b/crates/node/src/resp.rs
@@ -8,7 +8,7 @@
 
 use crate::limits::Limits;
 
-/// Most characters of a number, sign included; no 64-bit number has as many.
+/// Characters, sign included, that make a number malformed; no 64-bit number has as many.
 const MAX_NUMBER_DIGITS: usize = 24;
 
 /// Index of the value among a command's words.
--- a/crates/node/src/upstreams.rs
+++ b/crates/node/src/upstreams.rs
@@ -61,8 +61,8 @@
     unsized_body: RefCell<Option<UnsizedBody>>,
     /// Bytes of the memory budget that a large response has reserved.
     reserved_bytes: Cell<usize>,
-    /// Whether a large value is buffered until it is complete, as its client has other open
-    /// commands.
+    /// Whether a large value is buffered until it is complete, as later API calls of its client are
+    /// pending.
     buffers_whole_value: Cell<bool>,
     /// Whether a large value is being streamed.
     streaming: Cell<bool>,
--- a/crates/node/src/upstreams/streaming.rs
+++ b/crates/node/src/upstreams/streaming.rs
@@ -31,8 +31,8 @@
     }
 
     /// Starts to stream a value that is too large to be buffered, if one is being received; returns
-    /// its size. If the client has other open commands, streaming starts only once the value is
-    /// complete: a value that breaks off aborts the client's connection, and those commands would
+    /// its size. If later API calls of the client are pending, streaming starts only once the value
+    /// is complete: a value that breaks off aborts the client's connection, and those calls would
     /// fail too.
     pub(super) fn start_streaming(&self, executor: &EffectExecutor) -> Option<usize> {
         let limits = &executor.limits;
