--- a/crates/coordination/src/config.rs
+++ b/crates/coordination/src/config.rs
@@ -15,7 +15,8 @@
     /// Minimum number of reporting nodes for the fleet's load to be known. Fewer could be one
     /// faulty node and its neighbor.
     pub min_reporting_nodes: usize,
-    /// Upper bound of one node's report, as a multiple of the median of all reports.
+    /// Upper bound of one node's report, as a multiple of the median of the positive values of all
+    /// reports.
     pub max_report_medians: f64,
     /// Transmissions of a report by each node that has received it.
     pub max_report_transmissions: u32,
@@ -33,8 +34,8 @@
     /// Maximum stall of a process between reading its clock and writing the attempt that this
     /// reading allows.
     pub max_pause: Span,
-    /// Time after a request by a share's owner during which no other node gets a new lease on the
-    /// share.
+    /// Time after a request by a share's owner during which no other node is granted a lease on the
+    /// share, not even a renewal.
     pub owner_priority: Span,
     /// Maximum number of other nodes' shares that a node leases.
     pub max_borrowed_shares: usize,
--- a/crates/coordination/src/leases/lease_grantor.rs
+++ b/crates/coordination/src/leases/lease_grantor.rs
@@ -14,7 +14,7 @@
     holder: NodeId,
     round: u32,
     expires: Time,
-    /// Until this time, only the owner of the share gets a new lease.
+    /// Until this time, only the owner of the share is granted a lease.
     owner_priority_until: Time,
 }
 
@@ -69,8 +69,8 @@
             grant.owner_priority_until = now + self.owner_priority;
         }
         let is_free = grant.holder == from || now >= grant.expires;
-        let has_priority = is_owner || now >= grant.owner_priority_until;
-        if !is_free || !has_priority {
+        let is_eligible = is_owner || now >= grant.owner_priority_until;
+        if !is_free || !is_eligible {
             return false;
         }
         grant.holder = from;
--- a/crates/coordination/src/load_reports/bounded_sum.rs
+++ b/crates/coordination/src/load_reports/bounded_sum.rs
@@ -28,8 +28,8 @@
 }
 
 /// Returns the mean duration of an attempt in seconds: attempts in flight divided by responses per
-/// second. Whatever it reports, one node of `n` moves either sum by at most `max_medians` medians
-/// in `n`. A node that reports no responses adds only its attempts.
+/// second. Whatever it reports, one node of `n` changes either sum of `n` terms by at most
+/// `max_medians` medians. A node that reports no responses adds only its attempts.
 pub fn attempt_time(loads: &[WeightedLoad], max_medians: f64) -> Option<f64> {
     let max_in_flight = upper_bound(loads, max_medians, |load| load.attempts_in_flight)?;
     let max_responses = upper_bound(loads, max_medians, |load| load.responses_per_second)?;
--- a/crates/coordination/src/load_reports/mod.rs
+++ b/crates/coordination/src/load_reports/mod.rs
@@ -172,8 +172,8 @@
     }
 
     /// Returns the fleet's load according to the reports of other nodes; none if too few are
-    /// recent. Each report is limited to a multiple of the median, so that a faulty node, a stalled
-    /// one or a wrong clock cannot distort the result.
+    /// recent. Each report is limited to a multiple of the median, which bounds the effect of a
+    /// faulty node, a stalled one or a wrong clock on the result.
     pub fn fleet_load(&self, now: Time) -> Option<FleetLoad> {
         let recent: Vec<WeightedLoad> = self
             .known
--- a/crates/coordination/tests/properties.rs
+++ b/crates/coordination/tests/properties.rs
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Random bytes and corrupted datagrams are dropped, and neither make a node panic nor change
-    /// its state.
+    /// Random bytes and datagrams with a flipped bit are dropped. None of them makes a node panic
+    /// or grow, and none is stored as a report.
     #[test]
     fn malformed_datagrams_are_dropped(
         bytes in proptest::collection::vec(any::<u8>(), 0..300),
--- a/crates/membership/src/drain_overrides/mod.rs
+++ b/crates/membership/src/drain_overrides/mod.rs
@@ -40,8 +40,9 @@
         self.server
     }
 
-    /// Of two overrides issued on both sides of a partition, the drain wins: an unwanted drain
-    /// costs capacity, but a lost one may fail API calls.
+    /// The higher version wins. Of two overrides with the same version, issued concurrently on both
+    /// sides of a partition, the drain wins: an unwanted drain costs capacity, but a lost one may
+    /// fail API calls.
     fn supersedes(&self, other: &DrainOverride) -> bool {
         (self.version, self.drain, self.by) > (other.version, other.drain, other.by)
     }
--- a/crates/membership/src/endpoint.rs
+++ b/crates/membership/src/endpoint.rs
@@ -21,8 +21,8 @@
     /// checksum, version or fleet does not match.
     #[serde(rename = "spoilt")]
     pub malformed: u64,
-    /// Datagrams dropped because their sender does not match their address, or because they are
-    /// about a node that is not configured.
+    /// Datagrams dropped because their sender does not match their address, or because their
+    /// content is impossible, such as an entry about a node that is not configured.
     #[serde(rename = "forged")]
     pub rejected_sender: u64,
     /// Datagrams dropped because their sender exceeded its rate.
--- a/crates/membership/src/failure_detector/probing.rs
+++ b/crates/membership/src/failure_detector/probing.rs
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Ends the probe of the previous period. Its target is suspected if no datagram of it has been
-    /// received since.
+    /// Ends the probe of the previous period. Its target is suspected if no ack has arrived, direct
+    /// or relayed, and this node has received no datagram from the target since the probe began.
     pub(crate) fn conclude_probe(&mut self, now: Time) {
         let Some(probe) = self.detector.probe.take() else {
             return;
--- a/crates/membership/src/failure_detector/suspicion.rs
+++ b/crates/membership/src/failure_detector/suspicion.rs
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Returns the number of suspectors needed to declare a member dead. In a fleet that allows it
-    /// there are several, so that no node is removed on the report of a single one.
+    /// Returns the number of suspectors needed to declare a member dead. In a fleet that is large
+    /// enough, several are needed, so that no node is removed on the report of a single one.
     fn required_confirmations(&self) -> usize {
         if self.config.disabled.confirmations {
             return 1;
--- a/crates/membership/src/sim/network.rs
+++ b/crates/membership/src/sim/network.rs
@@ -176,7 +176,7 @@
         self.nodes[node].process.as_ref()
     }
 
-    /// Returns a node's process for changes, if it runs or is paused.
+    /// Returns a mutable reference to a node's process, if it runs or is paused.
     pub fn process_mut(&mut self, node: usize) -> Option<&mut P> {
         self.nodes[node].process.as_mut()
     }
--- a/crates/membership/tests/crashes.rs
+++ b/crates/membership/tests/crashes.rs
@@ -71,12 +71,12 @@
         }
         network.run_for(Span::ms(28_500));
         assert_eq!(network.false_removals(), 0, "seed {seed}");
-        let suspected = (0..12)
+        let removals = (0..12)
             .filter(|node| *node != 2)
             .map(|node| membership_flaps(&network, node, 2).saturating_sub(1))
             .sum::<usize>();
         assert_eq!(
-            suspected, 0,
+            removals, 0,
             "seed {seed}: the node that was paused for 30 s has removed another node"
         );
     }
--- a/crates/membership/tests/recorded_datagrams.rs
+++ b/crates/membership/tests/recorded_datagrams.rs
@@ -185,7 +185,7 @@
     }
     let all: String = sent.iter().map(|datagram| hex(&datagram.bytes)).collect();
     assert_eq!(sent.len(), 332);
-    // `fleet` returns the CRC32 of a text.
+    // `fleet_hash` returns the CRC32 of any text.
     let checksum_of_all = fleet_hash(&all);
     assert_eq!(format!("{checksum_of_all:08x}"), "edc92654");
     let last = sent.last().map(|datagram| hex(&datagram.bytes));
