--- a/crates/lab/src/emulator/servers.rs
+++ b/crates/lab/src/emulator/servers.rs
@@ -76,7 +76,7 @@
         match load_check {
             LoadCheck::Admitted => return true,
             LoadCheck::OriginOverloaded { .. } => self.report.origin_overloads += 1,
-            LoadCheck::Cold => self.report.cache_overloads += 1,
+            LoadCheck::ColdOverloaded => self.report.cache_overloads += 1,
         }
         if let Some(violation) = load_check.violation(server) {
             self.checker.record_overload(now, &violation);
--- a/crates/lab/src/routers/mod.rs
+++ b/crates/lab/src/routers/mod.rs
@@ -70,7 +70,7 @@
         endpoints: impl Iterator<Item = Endpoint<'a>>,
         actions: &mut A,
     ) {
-        self.on_endpoint_list(now, complete, endpoints, actions);
+        Balancer::on_endpoint_list(self, now, complete, endpoints, actions);
     }
 
     fn on_call<A: PolicyActions>(
@@ -80,7 +80,7 @@
         request: CallRequest,
         actions: &mut A,
     ) {
-        self.on_call(now, call, request, actions);
+        Balancer::on_call(self, now, call, request, actions);
     }
 
     fn on_client_cancelled<A: PolicyActions>(
@@ -89,7 +89,7 @@
         call: CallIndex,
         actions: &mut A,
     ) {
-        self.on_client_cancelled(now, call, actions);
+        Balancer::on_client_cancelled(self, now, call, actions);
     }
 
     fn on_attempt_result<A: PolicyActions>(
@@ -99,10 +99,10 @@
         result: AttemptResult,
         actions: &mut A,
     ) {
-        self.on_attempt_result(now, call, result, actions);
+        Balancer::on_attempt_result(self, now, call, result, actions);
     }
 
     fn on_timer<A: PolicyActions>(&mut self, now: Time, actions: &mut A) {
-        self.on_timer(now, actions);
+        Balancer::on_timer(self, now, actions);
     }
 }
--- a/crates/lab/src/server.rs
+++ b/crates/lab/src/server.rs
@@ -66,7 +66,7 @@
         caused_by_cold_miss: f64,
     },
     /// A cache that is warming up is overloaded and stops.
-    Cold,
+    ColdOverloaded,
 }
 
 impl LoadCheck {
@@ -78,7 +78,7 @@
             } if caused_by_cold_miss > MAX_COLD_MISS_RATIO => Some(format!(
                 "the origin stopped; {caused_by_cold_miss:.2} of its work was caused by cold misses"
             )),
-            LoadCheck::Cold => Some(format!("cache {server} was pushed over while cold")),
+            LoadCheck::ColdOverloaded => Some(format!("cache {server} was pushed over while cold")),
             _ => None,
         }
     }
@@ -222,7 +222,7 @@
                 caused_by_cold_miss: demand.cold_miss_ratio,
             }
         } else if overloaded && self.is_warming_up(now) {
-            LoadCheck::Cold
+            LoadCheck::ColdOverloaded
         } else {
             LoadCheck::Admitted
         }
