--- a/crates/lab/src/emulator/clients.rs
+++ b/crates/lab/src/emulator/clients.rs
@@ -45,8 +45,8 @@
         })
     }
 
-    /// A node that is down refuses the client's connection: the API call was not accepted, so it is
-    /// safe to retry.
+    /// Refuses a client's connection at once, for a node that is down: the API call was not
+    /// accepted, so it is safe to retry.
     fn refuse_connection(&mut self, attempt: ClientAttempt) {
         let delay = self.network_delay();
         let response = Response {
--- a/crates/lab/src/fleet/proxy.rs
+++ b/crates/lab/src/fleet/proxy.rs
@@ -23,8 +23,8 @@
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Size of the buffer between the link and the stub server, in bytes.
 const BUFFER_SIZE: usize = 64 * 1024;
-/// Longest time to accept the next connection while the queue is emptied up to the connection that
-/// blocks it.
+/// Longest wait for the next connection in the queue while a listener is unblocked, until the
+/// connection that fills the queue has been taken out.
 const UNBLOCK_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// How the proxy treats connections.
@@ -106,9 +106,9 @@
         }
     }
 
-    /// Blocks new connections: passes the queued ones to `relay`, then fills the queue, which is
-    /// cut to a length of one, with a connection of its own. While the queue is full, the system
-    /// ignores a connect as if its first packet had been lost.
+    /// Blocks new connections: shortens the queue to one connection, passes the queued ones to
+    /// `relay`, and fills the queue with a connection of its own. While the queue is full, the
+    /// system ignores a connect as if its first packet had been lost.
     async fn block(&mut self, addr: SocketAddr, relay: impl Fn(TcpStream)) {
         if self.queue_filler.is_some() {
             return;
--- a/crates/lab/src/rule_monitor.rs
+++ b/crates/lab/src/rule_monitor.rs
@@ -11,8 +11,8 @@
 use crate::rules::{CallEvent, Rule, RuleChecker, Violation};
 use crate::server::LoadCheck;
 
-/// How much later than it happened an event may be observed on a machine without load: one pass
-/// over all sockets, plus the time for which a node may wait for a core.
+/// How much later than it happened an event may be observed while the checks themselves are not
+/// late: one pass over all sockets, plus the time for which a node may wait for a core.
 const OBSERVATION_DELAY: Span = Span::ms(250);
 /// How long after its client timeout an API call counts as without a response: the platform's
 /// slack, plus time for a busy machine.
--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -50,7 +50,7 @@
     /// Number of all violations, including those that are not kept.
     pub violation_count: u64,
     /// How long after the client timeout a missing final response is reported. On sockets, also the
-    /// least tolerance for a late one.
+    /// shortest delay after that timeout from which a final response counts as late.
     response_slack: Span,
     /// How much later than it happened an event may be observed. Zero in the emulator. On sockets,
     /// the process that runs the checks may have been suspended; it then observes events in any
--- a/crates/lab/src/rules/call_history.rs
+++ b/crates/lab/src/rules/call_history.rs
@@ -45,7 +45,7 @@
     pub(super) client_deadline: Time,
     pub(super) responded_at: Option<Time>,
     pub(super) client_disconnected_at: Option<Time>,
-    /// Its node was suspended, killed or has exited: no response is required.
+    /// Its node was suspended or killed, or has exited: no response is required.
     pub(super) exempt: bool,
     pub(super) first_execution: Option<Time>,
     events: Vec<(Time, CallEvent)>,
--- a/crates/lab/src/scenario/checks.rs
+++ b/crates/lab/src/scenario/checks.rs
@@ -3,7 +3,7 @@
 
 use super::{Fault, LabError, Product, Scenario};
 
-/// Most servers, and most nodes, that an emulation on one machine can have.
+/// Most servers, and most nodes, that a run on one machine can have.
 const MAX_SERVERS: usize = 5_000;
 /// Most API calls of a run.
 const MAX_CALLS: f64 = 50e6;
--- a/crates/lab/src/scenario/fault.rs
+++ b/crates/lab/src/scenario/fault.rs
@@ -23,9 +23,9 @@
     OriginStop,
     /// The traffic rate is multiplied by `factor`.
     Burst,
-    /// The ratio `share` of API calls is for one key.
+    /// A fraction `share` of the API calls is for one key.
     HotKey,
-    /// The ratio `share` of API calls is for keys that are requested only once.
+    /// A fraction `share` of the API calls is for keys that are requested only once.
     Scan,
     /// Nodes restart one after the other, with nothing but the endpoint list.
     NodeRoll,
@@ -45,7 +45,7 @@
     /// How long it lasts, in seconds.
     #[serde(rename = "for", default = "ten")]
     pub duration_s: f64,
-    /// Ratio of the caches, nodes or API calls that it affects.
+    /// Fraction of the caches, nodes or API calls that it affects.
     #[serde(default = "one")]
     pub share: f64,
     /// Factor by which it multiplies a duration or a rate.
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -165,7 +165,7 @@
     pub work_ms: f64,
     /// Most jobs queued while all cores are busy.
     pub queue: usize,
-    /// It stops for some time when its load exceeds its capacity by this factor.
+    /// It stops for some time when its load exceeds this multiple of its capacity.
     #[serde(rename = "falls_at")]
     pub max_load: f64,
     /// Window over which the load is measured.
@@ -179,7 +179,7 @@
 pub struct Rules {
     /// How long a node may still send to a server after learning that it is draining or gone.
     pub grace_ms: f64,
-    /// A cache that is warming up stops when its load exceeds its capacity by this factor.
+    /// A cache that is warming up stops when its load exceeds this multiple of its capacity.
     #[serde(rename = "overload")]
     pub max_load: f64,
     /// Window over which the load is measured.
--- a/crates/lab/src/server.rs
+++ b/crates/lab/src/server.rs
@@ -55,14 +55,14 @@
     pub caused_by_cold_miss: bool,
 }
 
-/// How a server's load changes with new work.
+/// Result of the check of a server's load when new work arrives.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LoadCheck {
     /// The server is not overloaded and admits the work.
     Admitted,
     /// The origin is overloaded and stops.
     OriginOverloaded {
-        /// Ratio of its work that was caused by misses at caches that were warming up.
+        /// Fraction of its work that was caused by misses at caches that were warming up.
         caused_by_cold_miss: f64,
     },
     /// A cache that is warming up is overloaded and stops.
@@ -84,7 +84,7 @@
     }
 }
 
-/// An overloaded origin violates rule 4 if a greater ratio of its work than this was caused by
+/// An overloaded origin violates rule 4 if a greater fraction of its work than this was caused by
 /// misses at caches that were warming up.
 const MAX_COLD_MISS_RATIO: f64 = 0.5;
 /// How long a server is down after an overload.
--- a/crates/lab/src/server/demand.rs
+++ b/crates/lab/src/server/demand.rs
@@ -33,7 +33,7 @@
 pub struct DemandRate {
     /// Seconds of a full-speed core, per second.
     pub rate: f64,
-    /// Ratio of the work that was caused by misses at caches that were warming up.
+    /// Fraction of the work that was caused by misses at caches that were warming up.
     pub cold_miss_ratio: f64,
 }
 
--- a/crates/lab/src/stats/figures.rs
+++ b/crates/lab/src/stats/figures.rs
@@ -33,7 +33,7 @@
 }
 
 impl Report {
-    /// Returns the ratio of reads at caches that found their value.
+    /// Returns the fraction of reads at caches that found their value.
     pub fn hit_ratio(&self) -> f64 {
         self.hits as f64 / (self.hits + self.misses).max(1) as f64
     }
--- a/crates/lab/src/stats/report.rs
+++ b/crates/lab/src/stats/report.rs
@@ -100,7 +100,7 @@
     pub started: u64,
     /// API calls of clients that ended.
     pub ended: u64,
-    /// Hash over the events of the run, for comparing two runs.
+    /// Hash over the events of the run; any difference between two runs changes it.
     pub trace: u64,
     /// Start of the counted part of the run.
     pub(super) settled_at: Time,
--- a/crates/lab/src/stub/faults.rs
+++ b/crates/lab/src/stub/faults.rs
@@ -26,7 +26,7 @@
 ];
 /// How long a cache is down in a cold restart.
 const RESTART_DURATION: Duration = Duration::from_millis(500);
-/// Time from the end of a drain until the cache is in service again, with an empty memory.
+/// Time from the end of a drain until the cache is in service again, cold and empty.
 const REPLACEMENT_DELAY: Duration = Duration::from_millis(5_000);
 
 impl StubServers {
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Returns the indexes of the caches that a fault affects: its share of them, at least one,
-    /// spread over all indexes.
+    /// Returns the indices of the caches that a fault affects: its share of them, at least one,
+    /// spread over all indices.
     fn affected_caches(&self, fault_index: usize) -> Vec<usize> {
         let share = self.scenario.faults[fault_index].share;
         let caches = self.origin_index();
--- a/crates/lab/src/stub/origin.rs
+++ b/crates/lab/src/stub/origin.rs
@@ -96,7 +96,7 @@
     }
 
     /// Whether a deduplicated call with the same idempotency key was executed within its window; if
-    /// not, records the key. A repeat has no effect, so it is not reported as started.
+    /// not, records the key. A repeat has no effect, so it is not reported as an execution.
     fn is_repeat(&self, attributes: &str) -> bool {
         let product = &self.products[self.product_index(attributes)];
         if product.idempotency != Idempotency::Deduplicated {
--- a/crates/node/tests/sockets/config.rs
+++ b/crates/node/tests/sockets/config.rs
@@ -138,8 +138,8 @@
 }
 
 // Kinds and zones must be read at each reload, not only at the start. Otherwise an origin whose
-// kind has another index in the new settings would be treated as a cache. A call
-// that is open during the reload keeps its rules, and no call is dropped.
+// kind has another index in the new settings would be treated as a cache. A call that is open
+// during the reload keeps its rules, and no call is dropped.
 #[test]
 fn reload_to_another_deployment_and_back_drops_no_call() {
     let (sender, reports) = channel();
--- a/crates/node/tests/sockets/crashes.rs
+++ b/crates/node/tests/sockets/crashes.rs
@@ -7,9 +7,9 @@
     socket.set_linger(Some(Duration::ZERO)).expect("a socket");
 }
 
-/// A node is killed with a call open and with clients that have sent no command. The clients and
-/// the server of the attempt have to see the close at once, and the next process has to serve on
-/// the same address.
+/// A node is killed with a call open, an idle client and a client that has just connected and sent
+/// nothing. All three clients and the server of the attempt have to see the close at once, and the
+/// next process has to serve on the same address.
 #[test]
 fn next_process_serves_on_the_address_of_a_killed_one() {
     let (sender, reports) = channel();
