--- a/crates/lab/src/server.rs
+++ b/crates/lab/src/server.rs
@@ -55,18 +55,18 @@
     pub caused_by_cold_miss: bool,
 }
 
-/// How a server's load changes with new work.
+/// Result of the check of a server's load when new work arrives.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LoadCheck {
     /// The server is not overloaded and admits the work.
     Admitted,
     /// The origin is overloaded and stops.
     OriginOverloaded {
-        /// Ratio of its work that was caused by misses at caches that were warming up.
+        /// Fraction of its work that was caused by misses at caches that were warming up.
         caused_by_cold_miss: f64,
     },
     /// A cache that is warming up is overloaded and stops.
-    Cold,
+    ColdOverloaded,
 }
 
 impl LoadCheck {
@@ -78,13 +78,13 @@
             } if caused_by_cold_miss > MAX_COLD_MISS_RATIO => Some(format!(
                 "the origin stopped; {caused_by_cold_miss:.2} of its work was caused by cold misses"
             )),
-            LoadCheck::Cold => Some(format!("cache {server} was pushed over while cold")),
+            LoadCheck::ColdOverloaded => Some(format!("cache {server} was pushed over while cold")),
             _ => None,
         }
     }
 }
 
-/// An overloaded origin violates rule 4 if a greater ratio of its work than this was caused by
+/// An overloaded origin violates rule 4 if a greater fraction of its work than this was caused by
 /// misses at caches that were warming up.
 const MAX_COLD_MISS_RATIO: f64 = 0.5;
 /// How long a server is down after an overload.
@@ -222,7 +222,7 @@
                 caused_by_cold_miss: demand.cold_miss_ratio,
             }
         } else if overloaded && self.is_warming_up(now) {
-            LoadCheck::Cold
+            LoadCheck::ColdOverloaded
         } else {
             LoadCheck::Admitted
         }
