--- a/crates/coordination/tests/leases.rs
+++ b/crates/coordination/tests/leases.rs
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn lease_is_not_granted_twice_whatever_the_clock_drift() {
+fn share_is_granted_again_only_after_its_lease_expires() {
     for seed in 0..40 {
         let max_total = max_total_share_with_isolated_borrower(seed, false);
         assert!(max_total <= 1.0 + 1e-9, "seed {seed}: {max_total}");
